--- a/include/ospreyspur/Pushback/ClosedEndpoints.h
+++ b/include/ospreyspur/Pushback/ClosedEndpoints.h
@@ -1,8 +1,10 @@
-//===- ClosedEndpoints.h - endpoints that asked for a pause -----*- C++ -*-===//
+//===- ClosedEndpoints.h - endpoints in backoff or leaving ------*- C++ -*-===//
 //
-// An endpoint that turns a request away may say for how long it wants none of
-// the process that sent it. Until then it gets nothing, whatever else there is.
-// One that says that it leaves gets nothing more in that life, from anyone.
+// An endpoint that refuses a request may ask the sending process to back off
+// for a given time. Until that time passes the process sends the endpoint
+// nothing, even if no other endpoint is available. An endpoint that reports
+// that it is leaving gets no new request from any process for the rest of that
+// incarnation.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,32 +22,33 @@
 
 namespace ospreyspur {
 
-/// An endpoint asked for a pause; for the log.
+/// A backoff that an endpoint requested, for the log.
 struct RestNote {
   LifeDigest Life;
   Duration Rest{};
 };
 
-/// What one entry, or one agent, was asked for.
+/// The endpoints to which one entry or agent currently sends nothing.
 class ClosedEndpoints {
 public:
   static constexpr std::size_t MaxEndpoints = 4096;
 
   // Commands.
 
-  /// \p life wants nothing for \p rest. An earlier answer that asked for more
-  /// stands.
+  /// Starts a backoff of \p rest for \p life. An earlier backoff that ends
+  /// later stays in force.
   void onRest(LifeDigest life, Duration rest, TimePoint now);
-  /// \p life said, to this process or to another one that told it, that it
-  /// leaves.
+  /// Records that \p life is leaving. \p isTold: another process reported it,
+  /// so this one doesn't announce it.
   void onLeaving(LifeDigest life, bool isTold, TimePoint now);
-  /// The lives that said so, to report to the other entries now.
+  /// Returns the leaving incarnations to announce to the other entries now.
   std::vector<LifeDigest> takeLeavingReport();
-  /// The lives that were found to leave since the last call, for the log.
+  /// Returns the incarnations found to be leaving since the last call, for the
+  /// log.
   std::vector<LifeDigest> takeLeavingNotes() {
     return std::exchange(LeavingNotes, {});
   }
-  /// The pauses that began since the last call, for the log.
+  /// Returns the backoffs that began since the last call, for the log.
   std::vector<RestNote> takeNotes() { return std::exchange(Notes, {}); }
 
   // Queries.
@@ -53,9 +56,10 @@
   bool isResting(LifeDigest life, TimePoint now) const {
     return restUntil(life) > now;
   }
-  /// When the pause of \p life ends or ended; the earliest time for none.
+  /// When the backoff of \p life ends or ended; the earliest time if it has
+  /// none.
   TimePoint restUntil(LifeDigest life) const;
-  /// The first end of a pause after \p now.
+  /// The earliest end of a backoff after \p now.
   std::optional<TimePoint> nextEnd(TimePoint now) const;
   std::size_t restingCount(TimePoint now) const;
   bool isLeaving(LifeDigest life) const { return Leaving.contains(life); }
@@ -64,11 +68,12 @@
 
 private:
   static constexpr std::size_t MaxNotes = 64;
-  /// A life that left is gone long before.
+  /// An incarnation that is leaving has exited long before this time passes.
   static constexpr Duration KeepLeavingFor = std::chrono::hours(1);
-  /// Reports in which a life is told, as datagrams may be lost, and most of
-  /// them in one report.
+  /// Each leaving incarnation is announced in this many reports, as datagrams
+  /// may be lost.
   static constexpr unsigned LeavingTellings = 3;
+  /// Most leaving incarnations in one report.
   static constexpr std::size_t MaxToldLeaving = 32;
 
   struct LeavingLife {
--- a/include/ospreyspur/Pushback/Pushback.h
+++ b/include/ospreyspur/Pushback/Pushback.h
@@ -1,7 +1,8 @@
-//===- Pushback.h - what an endpoint asks for in an answer ------*- C++ -*-===//
+//===- Pushback.h - load hints in the head of a response --------*- C++ -*-===//
 //
-// Decoded from the head of any answer, also one that refuses a request, says
-// that a run failed or belongs to another request.
+// An endpoint may send its rate limit, a backoff and its leaving state in the
+// head of any response: also in one that refuses a request, reports a failed
+// run or belongs to another request.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,37 +17,39 @@
 
 namespace ospreyspur {
 
-/// A longer rest ends after this time.
+/// Longer backoffs are shortened to this time.
 inline constexpr Duration MaxRest = std::chrono::hours(1);
 
-/// One answer's statements. What cannot be read has no effect.
+/// The load hints of one response. A header value that cannot be parsed has no
+/// effect.
 struct Pushback {
-  /// Requests a second that the endpoint takes from all entries together;
-  /// nothing if it names none.
+  /// The advertised rate limit: requests per second that the endpoint accepts
+  /// from all entries together; empty if the response has none.
   std::optional<double> RequestsPerSecond;
-  /// How long the endpoint wants no request of the process that it turned away;
-  /// nothing if it does not say. At most MaxRest.
+  /// The backoff for the process whose request was refused; empty if the
+  /// response has none. At most MaxRest.
   std::optional<Duration> Rest;
-  /// Whether the endpoint is leaving: this life of it wants nothing new any
-  /// more, from anyone.
+  /// Whether the endpoint is leaving: its current incarnation accepts no new
+  /// request from any process.
   bool IsLeaving = false;
-  /// The first value that cannot be read, shortened; empty if there is none.
+  /// The first value that cannot be parsed, shortened; empty if all can.
   std::string Malformed;
 };
 
-/// The same as text: all values of each header.
+/// The undecoded values of each header that carries a load hint.
 struct PushbackText {
   unsigned Status = 0;
   std::vector<std::string> Rates;
-  /// Seconds, or a date as in HTTP.
+  /// Each value is a number of seconds or an HTTP date.
   std::vector<std::string> RetryAfters;
-  /// The answer's own date, against which the other is read: clocks differ.
+  /// The response's Date header. A Retry-After date is taken relative to it, as
+  /// the endpoint's clock may differ from the local one.
   std::string Date;
   /// "1" if the endpoint is leaving.
   std::vector<std::string> Leavings;
 };
 
-/// Reads \p text.
+/// Parses the header values in \p text.
 Pushback readPushback(const PushbackText &text);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Pushback/RateLimitNote.h
+++ b/include/ospreyspur/Pushback/RateLimitNote.h
@@ -1,6 +1,7 @@
-//===- RateLimitNote.h - a change of a named rate ---------------*- C++ -*-===//
+//===- RateLimitNote.h - log record of a rate limit change ------*- C++ -*-===//
 //
-// What a process tells in its log when a rate that an endpoint named changes.
+// The log record that a process writes when the rate limit advertised by an
+// endpoint changes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,17 +16,17 @@
 
 namespace ospreyspur {
 
-/// One change; rates in requests a second, nothing for none.
+/// One change. Rates are in requests per second, empty for no limit.
 struct RateLimitNote {
   LifeDigest Life;
   std::optional<double> Before;
   std::optional<double> After;
-  /// How long ago the endpoint said so.
+  /// Time since the endpoint's response that advertised the new limit.
   Duration Age{};
-  /// Whether another entry told it.
+  /// Whether another entry reported the change.
   bool IsTold = false;
-  /// This entry's place among the entries that share the rate, from 0, and how
-  /// many of them send.
+  /// This entry's rank, from 0, among the entries that share the limit, and the
+  /// number of rate limit owners, which are the entries that may send.
   std::size_t Rank = 0;
   std::size_t Holders = 1;
 };
--- a/include/ospreyspur/Pushback/RateLimitRow.h
+++ b/include/ospreyspur/Pushback/RateLimitRow.h
@@ -1,7 +1,7 @@
-//===- RateLimitRow.h - what entries tell of named rates --------*- C++ -*-===//
+//===- RateLimitRow.h - rate limits in reports of entries -------*- C++ -*-===//
 //
-// The part of an entry's report to the others that is about rates which
-// endpoints named.
+// The part of an entry's report to the other entries that carries the rate
+// limits advertised by endpoints.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,13 +15,15 @@
 
 namespace ospreyspur {
 
-/// What one life of an endpoint said last. Times are ages, as entries have no
-/// clock in common.
+/// The rate limit that one incarnation of an endpoint advertised last. Times
+/// are sent as ages, as entries have no common clock.
 struct RateLimitRow {
   LifeDigest Life;
-  /// Requests a second; nothing if an answer named no rate any more.
+  /// Requests per second; empty if a later response advertised no limit, which
+  /// lifts it.
   std::optional<double> PerSecond;
-  /// Of the request whose answer said so, and of that answer.
+  /// Time since the request was sent whose response advertised the limit, and
+  /// since that response was received.
   Duration SentAge{};
   Duration HeardAge{};
 };
--- a/include/ospreyspur/Pushback/RateLimits.h
+++ b/include/ospreyspur/Pushback/RateLimits.h
@@ -1,14 +1,15 @@
-//===- RateLimits.h - rates that endpoints named ----------------*- C++ -*-===//
+//===- RateLimits.h - rate limits advertised by endpoints -------*- C++ -*-===//
 //
-// An endpoint may name how many requests a second it takes from all entries
-// together. Its rate is divided among few entries, its holders, which all
-// entries find by the same rule (rendezvous hashing); the others send it
-// nothing. So the sum of all first requests is bounded, too, however many
-// entries there are. Entries whose views of the fleet differ by a member have
-// one holder more between them at most.
+// An endpoint may advertise how many requests per second it accepts from all
+// entries together. The limit is divided among a few entries, the rate limit
+// owners, which every entry computes by rendezvous hashing; all other entries
+// send the endpoint nothing. This also bounds the sum of the first requests of
+// all entries, however many entries there are. Entries whose membership views
+// differ by one member choose at most one additional owner between them.
 //
-// Of two statements the later one stands; of two whose order is not known the
-// stricter one, as answers of many connections overtake each other.
+// If two responses advertise different limits, the later one applies. If their
+// order is unknown, the stricter one applies, as responses on different
+// connections overtake each other.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,47 +27,49 @@
 
 namespace ospreyspur {
 
-/// The entries of a fleet by the digests of their names.
+/// The entries that share rate limits, as digests of their names.
 struct FleetMembers {
   std::uint64_t Self = 0;
   std::vector<std::uint64_t> Others;
-  /// False while there may be others that are not known.
+  /// False while there may be entries that are not known yet.
   bool IsComplete = true;
 };
 
-/// The limits known to one entry, or to an agent for its endpoint.
+/// The rate limits known to one entry, or to an agent for its endpoint.
 class RateLimits {
 public:
-  /// An endpoint that takes nothing is tried this often by one entry, as only
-  /// an answer tells that it takes requests again.
+  /// Lower limits are raised to this one, so that one entry still tries an
+  /// endpoint that accepts no requests: only a response shows that the endpoint
+  /// accepts requests again.
   static constexpr double MinPerSecond = 0.1;
-  /// A limit that was not heard of for this long is tried by one entry more,
-  /// and by another each time that ExtraHolderPause passes: its holders may be
-  /// idle or cut off.
+  /// If no response or report confirmed a limit for this long, one more entry
+  /// may send to the endpoint, and another one each time ExtraHolderPause
+  /// passes: the rate limit owners may be idle or partitioned from the others.
   static constexpr Duration QuietTime = std::chrono::seconds(10);
   static constexpr Duration ExtraHolderPause = std::chrono::seconds(2);
-  /// A limit that was not heard of for this long is dropped.
+  /// A limit that no response or report confirmed for this long is dropped.
   static constexpr Duration KeepFor = std::chrono::minutes(10);
-  /// How long it is kept, and told, that a limit was lifted: a report that was
-  /// sent before may arrive late.
+  /// How long a lifted limit is kept and announced as lifted: a report that was
+  /// sent before the lift may arrive late.
   static constexpr Duration KeepLiftFor = std::chrono::seconds(20);
-  /// After this time what is heard again is told again.
+  /// A limit that a response confirms is announced again if its last
+  /// announcement is at least this old.
   static constexpr Duration RetellAfter = std::chrono::seconds(3);
-  /// Reports in which a change is told, as datagrams may be lost.
+  /// Each change is announced in this many reports, as datagrams may be lost.
   static constexpr unsigned ChangeTellings = 3;
   static constexpr std::size_t MaxRowsPerReport = 16;
   static constexpr std::size_t MaxEndpoints = 4096;
 
   // Commands.
 
-  /// Also drops what is too old.
+  /// Sets the entries that share limits. Also drops expired limits.
   void setMembers(FleetMembers members, TimePoint now);
-  /// An answer of \p life named \p perSecond, or nothing, to a request that was
-  /// sent at \p sentAt.
+  /// Applies the limit \p perSecond, empty for none, from a response of \p life
+  /// to a request that was sent at \p sentAt.
   void onAnswer(LifeDigest life, std::optional<double> perSecond,
                 TimePoint sentAt, TimePoint now);
-  /// What another entry told. Rows of lives that \p isKnown does not know are
-  /// left out.
+  /// Merges another entry's report. Records of incarnations for which
+  /// \p isKnown returns false are ignored.
   template <typename Predicate>
   void merge(const std::vector<RateLimitRow> &rows, const Predicate &isKnown,
              TimePoint now) {
@@ -74,35 +77,39 @@
       if (isKnown(it.Life))
         mergeRow(it, now);
   }
-  /// The rows to tell the other entries now.
+  /// Returns the records to announce to the other entries now.
   std::vector<RateLimitRow> takeReport(TimePoint now);
-  /// Tells once more what this entry is among the first to hold: another entry
-  /// has begun. Does so once in a while only.
+  /// Announces the limits for which this entry is among the first owners once
+  /// more, as another entry has started. Has no effect if the last call was
+  /// less than TellAgainAfter ago.
   void tellAgain(TimePoint now);
-  /// Takes one request to \p life. False if there is none for this entry now.
+  /// Takes a token for one request to \p life. Returns false if the limit
+  /// leaves this entry none now.
   bool take(LifeDigest life, TimePoint now);
-  /// The changes since the last call, for the log.
+  /// Returns the changes since the last call, for the log.
   std::vector<RateLimitNote> takeNotes() { return std::exchange(Notes, {}); }
 
   // Queries.
 
   bool hasNotes() const { return !Notes.empty(); }
-  /// Whether \p life has named a rate that is in force.
+  /// Whether a rate limit of \p life is in force.
   bool isLimited(LifeDigest life) const;
-  /// Whether \p life has named a rate lately, in force or not.
+  /// Whether \p life has advertised a rate limit recently, be it in force or
+  /// lifted.
   bool isKnown(LifeDigest life) const { return Limits.contains(life); }
   /// Whether take() would succeed.
   bool hasRoom(LifeDigest life, TimePoint now) const;
-  /// Requests that this entry may send to \p life from now until \p until, if
-  /// it is limited.
+  /// The number of requests that this entry may send to \p life from \p now
+  /// until \p until, if \p life is limited.
   double roomUntil(LifeDigest life, TimePoint now, TimePoint until) const;
-  /// The rate that \p life named; 0 if it named none.
+  /// The rate limit of \p life in requests per second; 0 if it has none.
   double namedRate(LifeDigest life) const;
-  /// Entries that share a rate, this one included.
+  /// The number of entries that share a limit, including this one.
   std::size_t memberCount() const { return Members.Others.size() + 1; }
-  /// When this entry may next send to an endpoint to which it may not now.
+  /// The earliest time at which this entry may send to a limited endpoint to
+  /// which it may not send now.
   std::optional<TimePoint> nextRoom(TimePoint now) const;
-  /// Endpoints with a limit.
+  /// The number of endpoints whose limit is in force.
   std::size_t limitedCount() const;
   bool isEmpty() const { return Limits.empty(); }
 
@@ -110,14 +117,15 @@
   struct Limit {
     explicit Limit(TimePoint now) : Bucket(now) {}
 
-    /// Nothing: an answer named no rate any more.
+    /// Empty after a response without a limit lifted it.
     std::optional<double> PerSecond;
     TimePoint SentAt;
     TimePoint HeardAt;
     TimePoint ChangedAt;
     TimePoint ToldAt;
     unsigned Tellings = 0;
-    /// This entry's place among the holders, and their usual number.
+    /// This entry's rank among the entries that share the limit, and the number
+    /// of owners while the limit is confirmed regularly.
     std::size_t Rank = 0;
     std::size_t Holders = 1;
     TokenBucket Bucket;
@@ -129,11 +137,13 @@
     TimePoint HeardAt;
   };
 
-  /// Between a report's sending and its arrival, at most as a rule.
+  /// Upper estimate of the time from sending a report to its arrival.
   static constexpr Duration ReportDelay = std::chrono::milliseconds(100);
   static constexpr std::size_t MaxNotes = 64;
-  /// Entries that tell a limit to one that begins, and how often at most.
+  /// The number of entries that announce a limit again when another entry
+  /// starts.
   static constexpr std::size_t Tellers = 2;
+  /// Shortest time between two such announcements.
   static constexpr Duration TellAgainAfter = std::chrono::milliseconds(500);
 
   static bool isStricter(const std::optional<double> &a,
--- a/include/ospreyspur/Pushback/TokenBucket.h
+++ b/include/ospreyspur/Pushback/TokenBucket.h
@@ -1,6 +1,6 @@
-//===- TokenBucket.h - a bound on requests a second -------------*- C++ -*-===//
+//===- TokenBucket.h - limits requests per second ---------------*- C++ -*-===//
 //
-// Holds one token at most, so that a sender that was idle sends no burst.
+// The bucket holds at most one token, so that an idle sender starts no burst.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,27 +11,27 @@
 
 namespace ospreyspur {
 
-/// Empty at first.
+/// A token bucket of capacity one, empty at first.
 class TokenBucket {
 public:
   explicit TokenBucket(TimePoint now) : At(now) {}
 
   // Commands.
 
-  /// The rate is \p perSecond from now on.
+  /// Sets the refill rate to \p perSecond.
   void setRate(double perSecond, TimePoint now);
-  /// Takes a token. False if there is none.
+  /// Takes a token. Returns false if there is none.
   bool take(TimePoint now);
 
   // Queries.
 
   bool hasToken(TimePoint now) const { return tokens(now) >= Whole; }
-  /// When the next token is there; \p now if one is.
+  /// When the next token is available; \p now if one is available already.
   TimePoint nextToken(TimePoint now) const;
   double perSecond() const { return PerSecond; }
 
 private:
-  /// Less than one by what rounding may lose.
+  /// One token, less a tolerance for rounding errors.
   static constexpr double Whole = 1 - 1e-6;
 
   double tokens(TimePoint now) const;
--- a/include/ospreyspur/Quarantine/CrashNote.h
+++ b/include/ospreyspur/Quarantine/CrashNote.h
@@ -1,6 +1,7 @@
-//===- CrashNote.h - why a request is suspect or quarantined ----*- C++ -*-===//
+//===- CrashNote.h - log record of a suspect request ------------*- C++ -*-===//
 //
-// What the log says of a request under which an endpoint ended.
+// The log record of a request that was running on an endpoint that crashed: the
+// request is suspect or quarantined.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,19 +14,21 @@
 
 namespace ospreyspur {
 
-/// One decision on a request.
+/// One verdict on a request.
 struct CrashNote {
   RequestDigest Request;
-  /// The caller's name for the try; empty if another entry had it.
+  /// The caller's label for the attempt; empty if the attempt ran at another
+  /// entry.
   std::string Label;
-  /// The endpoint that ended; empty if another entry saw it.
+  /// The endpoint that crashed; empty if another entry saw the crash.
   EndpointId Endpoint;
   Duration Ran{};
-  /// Lives that ended under it, and how likely that is by chance.
+  /// The number of incarnations that crashed while they ran the request, and
+  /// the probability that an innocent request meets as many crashes.
   unsigned Crashes = 0;
   double Chance = 1;
   CrashStanding Standing = CrashStanding::Unknown;
-  /// Whether another entry told it.
+  /// Whether another entry reported the verdict.
   bool IsTold = false;
 };
 
--- a/include/ospreyspur/Quarantine/CrashRelay.h
+++ b/include/ospreyspur/Quarantine/CrashRelay.h
@@ -1,8 +1,9 @@
 //===- CrashRelay.h - relays crash reports between entries ------*- C++ -*-===//
 //
-// The part of an agent that connects entries, which do not dial one another.
-// Forwards each entry's crash reports to all other subscribers and keeps their
-// rows for later ones, so that they outlive the entries without the store.
+// The part of an agent that relays crash reports between entries, which open no
+// connections to one another. Forwards each entry's crash reports to all other
+// subscribers and keeps the records for entries that subscribe later. The
+// records so outlive the entries even without the key-value store.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,11 +29,11 @@
 
   // Commands.
 
-  /// An update from the entry behind \p from, which is subscribed from now on.
-  /// Returns what to send.
+  /// Handles an update from the entry behind \p from and subscribes that entry.
+  /// Returns the updates to send.
   std::vector<Delivery> onUpdate(LinkId from, const CrashUpdate &update,
                                  TimePoint now);
-  /// The link is gone.
+  /// Removes the subscription of the entry behind \p link.
   void onLinkDown(LinkId link);
 
   // Queries.
@@ -43,7 +44,7 @@
 private:
   CrashTracker Crashes;
   std::set<LinkId> Entries;
-  /// Subscribers whose last report had runs of suspects.
+  /// Subscribers whose last report listed attempts of suspect requests.
   std::set<LinkId> Running;
 };
 
--- a/include/ospreyspur/Quarantine/CrashReport.h
+++ b/include/ospreyspur/Quarantine/CrashReport.h
@@ -1,7 +1,7 @@
-//===- CrashReport.h - what entries tell of ended endpoints -----*- C++ -*-===//
+//===- CrashReport.h - reports of endpoint crashes --------------*- C++ -*-===//
 //
-// The part of an entry's report to the others that is about requests under
-// which endpoints ended.
+// The part of an entry's report to the other entries that lists the requests
+// that were running on endpoints when these crashed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,41 +17,43 @@
 
 namespace ospreyspur {
 
-/// One life of an endpoint; callers have no say in these ids.
+/// Identifies one incarnation of an endpoint. Callers can't influence these
+/// ids.
 using LifeDigest = StrongType<struct LifeDigestTag, std::uint64_t>;
 
-/// The digest of the life that \p id names.
+/// Returns the digest of the incarnation that \p id names.
 inline LifeDigest digestLife(const EndpointId &id) {
   return LifeDigest(digest64(id.get()));
 }
 
-/// A life that ended while a request ran there. Times are ages, as entries have
-/// no clock in common.
+/// The crash of an incarnation that was running a request. Times are sent as
+/// ages, as entries have no common clock.
 struct CrashTold {
   LifeDigest Life;
   Duration Age{};
   Duration Ran{};
 };
 
-/// What an entry knows of one request.
+/// The record of one request at the sending entry.
 struct CrashRow {
   RequestDigest Request;
   std::vector<CrashTold> Crashes;
-  /// Endpoints of its service.
+  /// The number of endpoints of the request's service.
   std::size_t Endpoints = 1;
-  /// How long ago it last came.
+  /// Time since the request was last received.
   Duration SeenAge{};
   std::optional<Duration> ClearedAge;
   std::optional<Duration> QuarantinedAge;
 };
 
-/// A suspect that the teller runs, and where.
+/// An attempt of a suspect request by the sending entry, and the incarnation
+/// that runs it.
 struct SuspectRun {
   RequestDigest Request;
   LifeDigest Life;
 };
 
-/// One report's part.
+/// The crash records and the suspect attempts of one report.
 struct CrashReport {
   std::vector<CrashRow> Rows;
   std::vector<SuspectRun> Runs;
--- a/include/ospreyspur/Quarantine/CrashReporter.h
+++ b/include/ospreyspur/Quarantine/CrashReporter.h
@@ -22,21 +22,22 @@
 /// Number of relays; each of them serves all entries.
 constexpr std::size_t RelayCount = 3;
 
-/// The relays that all entries with \p snapshot choose: spread over data
-/// centres, and the same while other endpoints come and go.
+/// Returns the relays that all entries with \p snapshot choose. They are spread
+/// over data centres, and stay the same while other endpoints join or leave.
 std::vector<EndpointId> chooseRelays(const RoutingSnapshot &snapshot);
 
 /// The subscriptions of one entry.
 class CrashReporter {
 public:
-  /// Delay in which changes are batched into one report.
+  /// Changes within this delay are batched into one report.
   static constexpr Duration BatchDelay = std::chrono::milliseconds(8);
-  /// Between two reports while suspects run, as receivers expire their runs.
+  /// Time between two reports while suspect requests run, as receivers expire
+  /// the attempts that a report lists.
   static constexpr Duration RefreshInterval = std::chrono::milliseconds(200);
-  /// Between two heartbeats to a relay, which may have restarted or lost the
-  /// link silently.
+  /// Time between two heartbeats to a relay. They are needed as a relay may
+  /// restart or lose the link without the entry noticing.
   static constexpr Duration HeartbeatInterval = std::chrono::seconds(5);
-  /// Delay before a relay is subscribed to again after its link broke.
+  /// Delay before this entry subscribes to a relay again after its link broke.
   static constexpr Duration ReconnectDelay = std::chrono::seconds(1);
   /// How long a relay's count of entries is valid.
   static constexpr Duration CountValidity =
@@ -45,24 +46,27 @@
   // Commands.
 
   void setRelays(const std::vector<EndpointId> &relays);
-  /// There is something to report.
+  /// Schedules a report, as there are changes to send.
   void onChange(TimePoint now);
   void onLinkDown(const EndpointId &relay, TimePoint now);
-  /// \p relay serves \p entries entries.
+  /// Records that \p relay serves \p entries entries.
   void onCount(const EndpointId &relay, std::size_t entries, TimePoint now);
-  /// The relays to subscribe to now, with all that is known.
+  /// Returns the relays to subscribe to now. The caller then sends each of them
+  /// all records.
   std::vector<EndpointId> takeSubscriptions(TimePoint now);
-  /// The relays to send a heartbeat to now.
+  /// Returns the relays to send a heartbeat to now.
   std::vector<EndpointId> takeHeartbeats(TimePoint now);
-  /// Whether a report is due; \p isRepeated: another follows by itself.
+  /// Returns whether a report is due. \p isRepeated schedules the next one
+  /// after RefreshInterval.
   bool takeReport(bool isRepeated, TimePoint now);
 
   // Queries.
 
   std::optional<TimePoint> nextTimer() const;
-  /// The relays that are subscribed to.
+  /// The relays to which this entry is subscribed.
   std::vector<EndpointId> relays() const;
-  /// Entries by the latest counts of the relays, this one included.
+  /// The number of entries, including this one: the largest valid count of the
+  /// relays.
   std::size_t entryCount(TimePoint now) const;
 
 private:
--- a/include/ospreyspur/Quarantine/CrashTracker.h
+++ b/include/ospreyspur/Quarantine/CrashTracker.h
@@ -1,18 +1,18 @@
-//===- CrashTracker.h - requests under which endpoints ended ----*- C++ -*-===//
+//===- CrashTracker.h - finds requests that crash endpoints -----*- C++ -*-===//
 //
-// Tells a request that ends whatever runs it (a query of death) from requests
-// that ran beside one, and from endpoints that end by themselves. Requests are
-// known by a digest, as one comes again under another label and at another
-// entry.
+// Distinguishes a request that crashes every endpoint that runs it (a query of
+// death) from requests that ran on the same endpoint, and from endpoints that
+// crash for other reasons. Requests are identified by a digest, as a request
+// may be received again under another label and at another entry.
 //
-// A request is a suspect once an endpoint's life has ended while it ran there.
-// A whole answer clears it. It is quarantined, and never sent again, once that
-// so many lives ended under it is too unlikely for a request that has nothing
-// to do with it, or at a fixed number. Lives that ended under a quarantined
-// request speak against no other one.
+// A request is suspect once an endpoint has crashed while it ran the request. A
+// complete response clears the request. A request is quarantined, and never
+// sent again, once an innocent request is too unlikely to meet as many crashes,
+// or at a fixed number of crashes. A crash under a quarantined request is no
+// evidence against other requests.
 //
-// What is known is told to the other entries as rows, which any of them may
-// merge in any order, any number of times.
+// The state is announced to the other entries as records, which an entry may
+// merge in any order and any number of times.
 //
 //===----------------------------------------------------------------------===//
 
@@ -33,106 +33,120 @@
 
 /// Bounds of a CrashTracker.
 struct CrashLimits {
-  /// Requests known, and lives that ended, of which the oldest go first.
+  /// Most requests in the table. The one with the least evidence is evicted
+  /// first, among equals the one that was received longest ago.
   std::size_t MaxRows = 256;
+  /// Most crashed incarnations in the table. The oldest is evicted first.
   std::size_t MaxLives = 512;
-  /// How long a request is remembered after it last came or ended a life.
+  /// How long a request is kept after it was last received or an endpoint last
+  /// crashed under it.
   Duration KeepRows = std::chrono::minutes(10);
   /// How long a cleared request is told, so that no late row revives it.
   Duration KeepCleared = std::chrono::seconds(20);
-  /// Lives that ended under a request from which on it is quarantined,
-  /// whatever else ends. A request is sent to two endpoints and comes back once
-  /// on the users' platform: an innocent one has no try left by then.
+  /// A request is quarantined at this number of crashes, however many other
+  /// endpoints crash. On the platform a request has two attempts and is sent
+  /// again once, so an innocent request has no attempt left by then.
   unsigned MostCrashes = 4;
-  /// How unlikely the ends under a request must be, if endpoints end by
-  /// themselves, for it to be quarantined sooner: one in some hours' requests.
+  /// A request with fewer crashes is quarantined if endpoints that crash for
+  /// other reasons cause as many with at most this probability. It corresponds
+  /// to one request among those of several hours.
   double Chance = 1e-6;
-  /// How long an end waits to be judged, so that all entries have told by then
-  /// what else ran there: one gathers its report for 8 ms, and the report may
-  /// be lost and told again.
+  /// How long the verdict on a request waits after a crash, so that all entries
+  /// have reported by then which other requests ran on the endpoint. An entry
+  /// batches its report for 8 ms, and a lost report has to be repeated.
   Duration SettleTime = std::chrono::milliseconds(100);
-  /// Over this time before and after an end others are counted.
+  /// Crashes within this time before and after a crash count towards the crash
+  /// rate around that crash.
   Duration RateSpan = std::chrono::seconds(10);
-  /// A run counts as this long at least: what was just sent may have met an
-  /// endpoint that was ending already.
+  /// Shorter attempts count as this long: a request that was just sent may have
+  /// reached an endpoint that was already crashing.
   Duration ShortestRun = std::chrono::milliseconds(250);
-  /// Reports in a row in which a new row is told, as datagrams may be lost.
+  /// A new record is announced in this many consecutive reports, as datagrams
+  /// may be lost.
   unsigned Tellings = 3;
-  /// Rows with two ends or more are told again, so many at a time, one after
-  /// the other, in a pause of RefreshEvery for each entry: whatever the fleet's
-  /// size, an entry hears of 80 a second, some 5 KB, and of none while there
-  /// are none.
+  /// Records of quarantined requests and of requests with two crashes or more
+  /// are announced again in rotation. The interval between two such reports of
+  /// an entry is RefreshEvery times the number of entries. Whatever the size of
+  /// the fleet, an entry so receives 80 such records per second, about 5 KB,
+  /// and none while there are none.
   Duration RefreshEvery = std::chrono::milliseconds(25);
+  /// Most records that are announced again in one report.
   std::size_t RefreshRows = 2;
-  /// Most rows in a report.
+  /// Most records in a report.
   std::size_t MaxReportRows = 32;
-  /// After this time another entry's runs no longer count.
+  /// After this time the attempts that another entry reported are ignored.
   Duration PeerRunAge = std::chrono::seconds(1);
 };
 
-/// What is known against a request.
+/// The verdict on a request.
 enum class CrashStanding : std::uint8_t {
   Unknown,
-  /// At least one life ended under it.
+  /// At least one endpoint crashed while it ran the request.
   Suspect,
-  /// It is not to be sent again.
+  /// The request must not be sent again.
   Quarantined,
 };
 
-/// The table of one entry.
+/// The crash records of one entry.
 class CrashTracker {
 public:
   explicit CrashTracker(CrashLimits limits = CrashLimits()) : Limits(limits) {}
 
   // Commands.
 
-  /// The life \p life ended while \p request had run there for \p ran; its
-  /// service has \p endpoints.
+  /// Records that the incarnation \p life crashed after it had run \p request
+  /// for \p ran. The request's service has \p endpoints endpoints.
   void onCrash(RequestDigest request, LifeDigest life, Duration ran,
                std::size_t endpoints, TimePoint now);
-  /// \p request got a whole answer.
+  /// Clears \p request, as it got a complete response.
   void onWhole(RequestDigest request, TimePoint now);
-  /// \p request came.
+  /// Records that \p request was received.
   void onSeen(RequestDigest request, TimePoint now);
-  /// Judges what is due. Returns the requests that are quarantined thereby.
+  /// Decides on all requests whose verdict is due. Returns those that are
+  /// quarantined now.
   std::vector<RequestDigest> judge(TimePoint now);
-  /// Judges all open rows without waiting, for a lone entry.
+  /// Decides on all requests with a pending verdict without waiting. For use
+  /// while there is no other entry.
   std::vector<RequestDigest> judgeAll(TimePoint now);
-  /// What the entry \p peer knows. Returns the requests that are quarantined
-  /// thereby.
+  /// Merges a report of the entry \p peer. Returns the requests that are
+  /// quarantined by it.
   std::vector<RequestDigest> merge(const std::string &peer,
                                    const CrashReport &report, TimePoint now);
-  /// Requests that an earlier entry had quarantined.
+  /// Restores requests that were quarantined before this process started.
   void restore(const std::vector<RequestDigest> &requests, TimePoint now);
-  /// The rows to tell the other entries now; all together are \p entries.
+  /// Returns the records to announce to the other entries now. \p entries is
+  /// the number of entries, including this one.
   std::vector<CrashRow> takeRows(std::size_t entries, TimePoint now);
-  /// All rows, in reports of at most MaxReportRows; nothing counts as told.
+  /// Returns all records, in reports of at most MaxReportRows. They don't count
+  /// as announced.
   std::vector<CrashReport> allRows(TimePoint now);
 
   // Queries.
 
   CrashStanding standingOf(RequestDigest request) const;
-  /// Whether ends under \p request are still to be judged.
+  /// Whether the verdict on \p request is pending.
   bool isSettling(RequestDigest request) const;
-  /// When judge() is next needed, if at all.
+  /// When judge() is due next; empty if no verdict is pending.
   std::optional<TimePoint> nextJudgement() const;
-  /// Lives that ended under \p request since it was last cleared.
+  /// The number of incarnations that crashed while they ran \p request, since
+  /// it was last cleared.
   unsigned crashesOf(RequestDigest request) const;
-  /// How likely as many ends are for a request that has nothing to do with
-  /// them.
+  /// The probability that an innocent request meets the crashes recorded for
+  /// \p request.
   double chanceOf(RequestDigest request, TimePoint now) const;
-  /// Whether another entry runs \p request.
+  /// Whether another entry reported recently that it runs \p request.
   bool runsElsewhere(RequestDigest request, TimePoint now) const;
-  /// Where other entries run suspects other than \p request.
+  /// The incarnations on which other entries run suspect requests other than
+  /// \p request.
   std::set<LifeDigest> livesOfOthers(RequestDigest request,
                                      TimePoint now) const;
-  /// When \p life ended, if that is known.
+  /// When \p life crashed; empty if no crash is known.
   std::optional<TimePoint> endOf(LifeDigest life) const;
   bool isEmpty() const { return Rows.empty(); }
   std::size_t rowCount() const { return Rows.size(); }
-  /// The quarantined requests, those seen last first.
+  /// The quarantined requests, the most recently received ones first.
   std::vector<RequestDigest> quarantined() const;
-  /// Requests that were cleared lately.
+  /// The requests that were cleared recently.
   std::vector<RequestDigest> cleared() const;
   /// Grows whenever a request is quarantined, or cleared after that.
   std::uint64_t quarantineChanges() const { return Changes; }
@@ -147,16 +161,16 @@
     std::vector<Crash> Crashes;
     std::size_t Endpoints = 1;
     TimePoint SeenAt;
-    /// Crashes before do not count.
+    /// Crashes up to this time don't count.
     std::optional<TimePoint> ClearedAt;
     std::optional<TimePoint> QuarantinedAt;
-    /// When its ends are to be judged, if any are new.
+    /// When the verdict is due, if there are new crashes.
     std::optional<TimePoint> JudgeAt;
     unsigned Tellings = 0;
   };
   struct Life {
     TimePoint At;
-    /// Whether it ended under a quarantined request.
+    /// Whether it crashed while it ran a quarantined request.
     bool IsExplained = false;
   };
   struct PeerRuns {
@@ -186,7 +200,7 @@
   std::map<std::string, PeerRuns> Peers;
   std::uint64_t Changes = 0;
   TimePoint RefreshAt;
-  /// The row told last in its turn.
+  /// The record that was announced again last in the rotation.
   RequestDigest Refreshed;
 };
 
--- a/include/ospreyspur/Quarantine/EndpointFate.h
+++ b/include/ospreyspur/Quarantine/EndpointFate.h
@@ -1,7 +1,7 @@
-//===- EndpointFate.h - whether an endpoint has ended -----------*- C++ -*-===//
+//===- EndpointFate.h - whether an endpoint has exited ----------*- C++ -*-===//
 //
-// What can be found out of an endpoint that closed a connection before its
-// answer was whole.
+// The result of checking an endpoint that closed a connection before its
+// response was complete.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,13 +12,13 @@
 
 namespace ospreyspur {
 
-/// What became of an endpoint that cut an answer.
+/// The state of an endpoint that cut off a response.
 enum class EndpointFate : std::uint8_t {
-  /// It takes connections, in the same life.
+  /// The same incarnation accepts connections.
   Alive,
-  /// Nothing listens there, or a later life does.
+  /// Nothing listens at the address, or a later incarnation does.
   Ended,
-  /// It could not be asked.
+  /// The check was inconclusive.
   Unknown,
 };
 
--- a/include/ospreyspur/Quarantine/QuarantineStore.h
+++ b/include/ospreyspur/Quarantine/QuarantineStore.h
@@ -1,10 +1,10 @@
-//===- QuarantineStore.h - quarantined requests that last -------*- C++ -*-===//
+//===- QuarantineStore.h - persists quarantined requests --------*- C++ -*-===//
 //
-// The state machine that keeps the quarantined requests in the platform's
-// store, so that they outlive all entries. It is read once, when a process
+// The state machine that keeps the quarantined requests in the key-value store,
+// so that they outlive all entries. It is read once, when a process
 // begins; later news come from the other entries, also while the store is out.
-// One key holds all of them, under a lease: what nobody wrote for that long is
-// forgotten.
+// One key holds all quarantined requests under a lease. The store deletes the
+// key if no entry writes it for the duration of the lease.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,19 +22,21 @@
 
 namespace ospreyspur {
 
-/// Writes what this entry knows and the store does not.
+/// Writes the quarantined requests that the store lacks, and removes cleared
+/// requests from the store.
 class QuarantineStore {
 public:
   /// Most requests in the value: 2.3 KB.
   static constexpr std::size_t MaxStored = 128;
   static constexpr Duration LeaseSpan = std::chrono::minutes(10);
-  /// After this time whoever wrote the value last writes it anew, for as long
-  /// as it still knows any.
+  /// After this time the entry that wrote the value last writes it again to
+  /// renew the lease, as long as the entry has quarantined requests.
   static constexpr Duration RewriteAfter = std::chrono::minutes(5);
-  /// All entries hear of a request at about the same time; over this span they
-  /// look whether another one has written it.
+  /// All entries learn of a quarantined request at about the same time. Each
+  /// waits for a random part of this span, then reads the value and writes the
+  /// request only if no other entry has done so.
   static constexpr Duration WriteSpread = std::chrono::milliseconds(800);
-  /// Bounds of the pause after a failed call.
+  /// Bounds of the delay after a failed call.
   static constexpr Duration MinPause = std::chrono::milliseconds(250);
   static constexpr Duration MaxPause = std::chrono::seconds(4);
 
@@ -43,17 +45,20 @@
 
   // Commands.
 
-  /// What this entry has quarantined, and what it has cleared since.
+  /// Sets the requests that this entry has quarantined and those that it has
+  /// cleared.
   void setOwn(std::vector<RequestDigest> quarantined,
               const std::vector<RequestDigest> &cleared, TimePoint now);
-  /// The call that is due, if any; its answer goes to onReply().
+  /// Returns the call that is due, if any. The caller passes the reply to
+  /// onReply().
   std::optional<KvCall> nextCall(TimePoint now);
-  /// Returns the requests that were stored before this process began, once.
+  /// Returns the stored requests at the first successful read, as they were
+  /// quarantined before this process started; otherwise nothing.
   std::vector<RequestDigest> onReply(const KvReply &reply, TimePoint now);
 
   // Queries.
 
-  /// When nextCall() is next needed, if at all.
+  /// When nextCall() is due next; empty if no call is.
   std::optional<TimePoint> nextTimer() const;
   const std::vector<RequestDigest> &stored() const { return Stored; }
 
@@ -67,11 +72,11 @@
   std::vector<RequestDigest> Own;
   std::set<RequestDigest> Cleared;
   std::vector<RequestDigest> Stored;
-  /// What the call under way writes; nothing if it reads.
+  /// The value that the pending call writes; empty if the call reads.
   std::optional<std::vector<RequestDigest>> Writing;
   Revision At;
   bool HasRead = false;
-  /// Whether the copy of the value is new enough to write upon.
+  /// Whether Stored is current enough to base a write on.
   bool IsFresh = false;
   bool IsCalling = false;
   std::optional<TimePoint> DueAt = TimePoint();
--- a/lib/Pushback/ClosedEndpoints.cpp
+++ b/lib/Pushback/ClosedEndpoints.cpp
@@ -1,4 +1,4 @@
-//===- ClosedEndpoints.cpp - endpoints that asked for a pause -------------===//
+//===- ClosedEndpoints.cpp - endpoints in backoff or leaving --------------===//
 //
 // See ClosedEndpoints.h.
 //
--- a/lib/Pushback/Pushback.cpp
+++ b/lib/Pushback/Pushback.cpp
@@ -1,4 +1,4 @@
-//===- Pushback.cpp - reading what an endpoint asks for -------------------===//
+//===- Pushback.cpp - parsing load hints of responses ---------------------===//
 //
 // See Pushback.h.
 //
@@ -15,12 +15,12 @@
 
 using namespace ospreyspur;
 
-/// A rate beyond this bounds nothing.
+/// Higher rates are lowered to this one, which limits nothing in practice.
 static constexpr double MaxRequestsPerSecond = 1e6;
-/// Of a value that cannot be read, for the log.
+/// Length to which a value that cannot be parsed is shortened for the log.
 static constexpr std::size_t MaxQuotedBytes = 32;
 
-/// A decimal number of zero or more.
+/// Parses a non-negative decimal number.
 static std::optional<double> readNumber(const std::string &text) {
   double out = 0;
   const char *end = text.data() + text.size();
@@ -31,7 +31,7 @@
   return out;
 }
 
-/// Seconds since the epoch of a date as HTTP writes it.
+/// Parses an HTTP date into seconds since the epoch.
 static std::optional<std::time_t> readDate(const std::string &text) {
   std::tm fields{};
   std::istringstream is(text);
@@ -56,7 +56,7 @@
   return std::chrono::duration_cast<Duration>(rest);
 }
 
-/// Whether an answer with \p status turned its request away.
+/// Whether a response with \p status refuses its request.
 static bool isRefusal(unsigned status) {
   return status == 429 || status == 503;
 }
--- a/lib/Pushback/RateLimits.cpp
+++ b/lib/Pushback/RateLimits.cpp
@@ -1,4 +1,4 @@
-//===- RateLimits.cpp - rates that endpoints named ------------------------===//
+//===- RateLimits.cpp - rate limits advertised by endpoints ---------------===//
 //
 // See RateLimits.h.
 //
@@ -12,8 +12,8 @@
 using namespace ospreyspur;
 using Seconds = std::chrono::duration<double>;
 
-/// The weight of an entry for an endpoint: the same in every process, whatever
-/// its build (the finalizer of SplitMix64).
+/// Returns the rendezvous hashing weight of \p entry for \p life. The finalizer
+/// of SplitMix64 gives the same weight in every process and build.
 static std::uint64_t weigh(std::uint64_t entry, LifeDigest life) {
   std::uint64_t n = entry ^ (life.get() * 0x9e3779b97f4a7c15U);
   n = (n ^ (n >> 30U)) * 0xbf58476d1ce4e5b9U;
@@ -47,7 +47,7 @@
   double rate = std::max(*limit.PerSecond, MinPerSecond);
   double holders = std::floor(std::max(rate, 1.0));
   limit.Holders = std::min(memberCount(), static_cast<std::size_t>(holders));
-  // Others may come before this one.
+  // Entries that are not known yet may rank before this one.
   if (!Members.IsComplete)
     limit.Rank = std::max(limit.Rank, limit.Holders);
   limit.Bucket.setRate(rate / double(limit.Holders), now);
@@ -74,8 +74,8 @@
   Limits.at(row.Life).ToldAt = now;
 }
 
-/// Takes \p said over unless what is known is later or stricter. True if it
-/// stands now.
+/// Applies \p said unless the known limit is later, or is stricter and of
+/// unknown order. Returns whether \p said is in force now.
 bool RateLimits::apply(LifeDigest life, const Statement &said, bool isTold,
                        TimePoint now) {
   auto it = Limits.find(life);
--- a/lib/Pushback/TokenBucket.cpp
+++ b/lib/Pushback/TokenBucket.cpp
@@ -1,4 +1,4 @@
-//===- TokenBucket.cpp - a bound on requests a second ---------------------===//
+//===- TokenBucket.cpp - limits requests per second -----------------------===//
 //
 // See TokenBucket.h.
 //
--- a/lib/Quarantine/CrashTracker.cpp
+++ b/lib/Quarantine/CrashTracker.cpp
@@ -1,4 +1,4 @@
-//===- CrashTracker.cpp - requests under which endpoints ended ------------===//
+//===- CrashTracker.cpp - finds requests that crash endpoints -------------===//
 //
 // See CrashTracker.h.
 //
@@ -12,8 +12,9 @@
 
 using namespace ospreyspur;
 
-/// Ends around each that are taken for given beside those that were seen: ends
-/// come in waves, and the first ones of a wave look like a quiet time.
+/// Added to the number of crashes seen around each crash. Crashes come in
+/// waves, and without this the first crashes of a wave would be rated as if
+/// endpoints hardly ever crashed.
 static constexpr double UnseenEnds = 2;
 
 void CrashTracker::onCrash(RequestDigest request, LifeDigest life, Duration ran,
@@ -73,7 +74,7 @@
   return out;
 }
 
-/// Returns whether the request is quarantined thereby.
+/// Returns whether the request is quarantined by this record.
 bool CrashTracker::mergeRow(const CrashRow &in, TimePoint now) {
   if (in.Request == RequestDigest() || in.SeenAge >= Limits.KeepRows)
     return false;
@@ -147,8 +148,9 @@
   return out;
 }
 
-/// Adds the next rows in their turn. What has a single end against it is told
-/// at first only: whoever missed that would not do anything else for it.
+/// Adds the next records of the rotation. Records of requests that have a
+/// single crash and are not quarantined are left out: an entry that missed the
+/// first announcements would not act differently.
 void CrashTracker::refresh(std::vector<CrashRow> &out, TimePoint now) {
   auto it = Rows.upper_bound(Refreshed);
   std::size_t told = 0;
@@ -259,8 +261,9 @@
   return Rows[request];
 }
 
-/// Callers choose the bodies, so any number of requests may be at a crash: what
-/// has the least against it goes first, then what came longest ago.
+/// Callers choose the request bodies, so any number of distinct requests may be
+/// running at a crash. Evicts the request with the least evidence against it,
+/// among equals the one that was received longest ago.
 void CrashTracker::makeRoom(TimePoint now) {
   if (Rows.size() < Limits.MaxRows)
     return;
@@ -277,7 +280,7 @@
       [&](const auto &a, const auto &b) { return rank(a) < rank(b); }));
 }
 
-/// Returns whether it is news.
+/// Returns whether \p crash was new and has been added.
 bool CrashTracker::addCrash(Row &row, const Crash &crash) {
   bool isOver = row.ClearedAt && crash.At <= *row.ClearedAt;
   bool isKnown =
@@ -312,10 +315,12 @@
   return judgeBefore(std::nullopt, now);
 }
 
-/// Judges what is due at \p due, or all.
+/// Decides on the requests whose verdict is due at \p due, or on all with a
+/// pending verdict if \p due is empty.
 std::vector<RequestDigest>
 CrashTracker::judgeBefore(std::optional<TimePoint> due, TimePoint now) {
-  // Those with the most ends first: what they explain speaks against no other.
+  // Requests with the most crashes come first, as crashes that one of them
+  // explains are no evidence against the others.
   std::vector<std::pair<std::size_t, RequestDigest>> open;
   for (auto &[request, row] : Rows) {
     if (!row.JudgeAt || (due && *due < *row.JudgeAt))
@@ -360,7 +365,8 @@
   return next;
 }
 
-/// The lives that ended under \p row's request speak against no other one.
+/// Marks the crashes of \p row as caused by \p request and removes them from
+/// all other requests that are not quarantined.
 void CrashTracker::explain(RequestDigest request, const Row &row) {
   std::vector<LifeDigest> ended;
   for (const Crash &it : row.Crashes) {
@@ -381,8 +387,8 @@
   }
 }
 
-/// Whether another request was there at all the ends that \p row has: which of
-/// them it was only shows once they have run apart.
+/// Whether another request was running at all crashes of \p row. Only a
+/// crash while one of the two runs alone shows which one causes crashes.
 bool CrashTracker::hasTwin(RequestDigest request, const Row &row) const {
   auto wasAt = [](const Row &other, LifeDigest life) {
     return std::any_of(other.Crashes.begin(), other.Crashes.end(),
@@ -396,9 +402,10 @@
   });
 }
 
-/// The product, over the ends under \p row's request, of the chance that an
-/// endpoint ends by itself during such a run. The rate is taken from all other
-/// unexplained ends around that one, so that a request raises its own not.
+/// The product, over the crashes of \p row, of the probability that an endpoint
+/// crashes for another reason during such an attempt. The crash rate is taken
+/// from the unexplained crashes of other incarnations around each crash, so
+/// that a request doesn't raise the rate by which it is judged.
 double CrashTracker::chanceOf(const Row &row, TimePoint now) const {
   using Seconds = std::chrono::duration<double>;
   double chance = 1;
--- a/lib/Quarantine/QuarantineStore.cpp
+++ b/lib/Quarantine/QuarantineStore.cpp
@@ -1,6 +1,6 @@
-//===- QuarantineStore.cpp - quarantined requests that last ---------------===//
+//===- QuarantineStore.cpp - persists quarantined requests ----------------===//
 //
-// The value is the requests' digests in hex, with spaces between them.
+// The stored value is a space-separated list of request digests in hex.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
   return out;
 }
 
-/// What cannot be read is passed over.
+/// Skips words that are not request digests.
 static std::vector<RequestDigest> parse(const std::string &text) {
   std::vector<RequestDigest> out;
   std::istringstream is(text);
@@ -108,7 +108,7 @@
     fail(now);
     return {};
   }
-  // Whoever wrote last renews the lease.
+  // The entry that wrote the value last renews the lease.
   bool isOwn = isRead && reply.Code == ResultCode::Ok && reply.At == At &&
                now - WrittenAt >= RewriteAfter;
   take(reply);
