--- a/unittests/Pushback/NeedyFleet.cpp
+++ b/unittests/Pushback/NeedyFleet.cpp
@@ -1,4 +1,4 @@
-//===- NeedyFleet.cpp - a fleet before endpoints in need ------------------===//
+//===- NeedyFleet.cpp - entries and endpoints with rate limits ------------===//
 //
 // See NeedyFleet.h.
 //
@@ -16,7 +16,8 @@
 
 static constexpr Duration ReportEvery = milliseconds(200);
 static constexpr Duration RestartTime = milliseconds(300);
-/// An answer counts as passed on so long before a request at the latest.
+/// A request counts in mostWithin() if its entry had received the endpoint's
+/// rate limit at least this long before.
 static constexpr Duration HeardBefore = milliseconds(500);
 
 NeedyFleet::NeedyFleet(std::uint64_t seed, FleetShape shape)
@@ -174,7 +175,8 @@
       std::max(Told.LongestRefusal, Time.now() - ArrivedAt.at(end.Call));
 }
 
-/// A connection may take a while; then the node is asked once more.
+/// Sends the request once the connection is open, if the node still allows the
+/// request by then.
 void NeedyFleet::send(unsigned i, unsigned life, const StartAttempt &order) {
   auto endpoint = unsigned(std::stoul(order.Endpoint.Id.get().substr(1)));
   Duration connecting = Time.chance(10) ? Duration(Time.below(300000))
@@ -199,7 +201,7 @@
     host.Arrivals.push_back(
         {Time.now(), it.Entry,
          at == heard.end() ? std::nullopt : std::optional(at->second)});
-    // Some heads come long after others that were written later.
+    // Some response heads arrive long after heads that were written later.
     it.Named = host.Rate;
     Duration work = Time.chance(5) ? Duration(Time.below(900000))
                                    : Duration(Time.below(40000));
--- a/unittests/Pushback/NeedyFleet.h
+++ b/unittests/Pushback/NeedyFleet.h
@@ -1,8 +1,9 @@
-//===- NeedyFleet.h - a fleet before endpoints in need ----------*- C++ -*-===//
+//===- NeedyFleet.h - entries and endpoints with rate limits ----*- C++ -*-===//
 //
-// Entries on virtual time before endpoints that name a rate in their answers,
-// with reports between the entries that may be cut and entries that are killed
-// and frozen. Keeps what each endpoint got from whom.
+// Simulates entries and endpoints on virtual time. Endpoints advertise rate
+// limits in their responses. Reports between entries may be lost, and entries
+// may be killed or frozen. Records which requests each endpoint receives from
+// which entry.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,15 +33,16 @@
 struct FleetArrival {
   TimePoint At;
   unsigned Entry = 0;
-  /// When its entry had first heard the endpoint name a rate, in that life.
+  /// When the current incarnation of the sending entry first received a rate
+  /// limit of the endpoint.
   std::optional<TimePoint> EntryHeardAt;
 };
 
-/// How callers' requests ended.
+/// The results of callers' requests.
 struct FleetOutcomes {
   unsigned Served = 0;
   std::map<ResultCode, unsigned> Refused;
-  /// How long refused callers had waited at most.
+  /// The longest time that a refused request had waited.
   Duration LongestRefusal{};
   std::vector<Duration> RetryAfters;
 };
@@ -52,22 +54,23 @@
   void run(Duration span) { Time.runUntil(Time.now() + span); }
   TimePoint now() const { return Time.now(); }
 
-  /// What the endpoint \p i names from now on; nothing for no rate.
+  /// Sets the rate limit that the endpoint \p i advertises; empty for none.
   void name(unsigned i, std::optional<double> perSecond) {
     Hosts[i].Rate = perSecond;
   }
-  /// Reports of and to \p entry are lost for \p span.
+  /// Drops all reports from and to \p entry for \p span.
   void cut(unsigned entry, Duration span) {
     Nodes[entry].CutUntil = Time.now() + span;
   }
   void freeze(unsigned entry, Duration span) {
     Nodes[entry].FrozenUntil = Time.now() + span;
   }
-  /// The entry ends, and another life of it begins.
+  /// Kills the entry. Its next incarnation starts after a restart delay.
   void kill(unsigned entry);
-  /// The store lists nobody to entries that begin, until it is back.
+  /// Starts an outage of the key-value store for \p span. Entries that start
+  /// during the outage get no list of the other entries until it is over.
   void setStoreOut(Duration span);
-  /// Only \p n entries, from \p first on, get requests from now on.
+  /// Sends callers' requests only to \p n entries, starting at \p first.
   void useEntries(unsigned n, unsigned first = 0) {
     Used = n;
     FirstUsed = first;
@@ -76,9 +79,9 @@
   const std::vector<FleetArrival> &arrivals(unsigned endpoint) const {
     return Hosts[endpoint].Arrivals;
   }
-  /// Most requests that reached \p endpoint within \p span, from \p from on, of
-  /// entries that had heard its rate half a second before; of all entries with
-  /// \p ofAll.
+  /// The largest number of requests that reached \p endpoint within any \p span
+  /// after \p from. Counts entries that had received its rate limit half a
+  /// second before, or all entries with \p ofAll.
   std::size_t mostWithin(unsigned endpoint, Duration span, TimePoint from,
                          bool ofAll = false) const;
   const FleetOutcomes &outcomes() const { return Told; }
@@ -95,7 +98,7 @@
     unsigned Life = 0;
     TimePoint FrozenUntil;
     TimePoint CutUntil;
-    /// When the node's timer runs next.
+    /// When the node's timer fires next.
     std::optional<TimePoint> WakeAt;
     std::map<unsigned, TimePoint> HeardAt;
   };
--- a/unittests/Pushback/RateLimitFleetTest.cpp
+++ b/unittests/Pushback/RateLimitFleetTest.cpp
@@ -1,8 +1,8 @@
-//===- RateLimitFleetTest.cpp - named rates and a whole fleet -------------===//
+//===- RateLimitFleetTest.cpp - rate limits across a fleet of entries -----===//
 //
-// Entries on virtual time before endpoints that name a rate. The sum of what
-// all entries send must keep it with more entries than it has places, whatever
-// becomes of the entries.
+// Simulates entries and endpoints with rate limits on virtual time. All entries
+// together must keep within a limit, even if there are more entries than
+// requests per second, and while entries fail.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,22 +18,26 @@
 
 static constexpr std::uint64_t Seeds = 8;
 static constexpr Duration Window = seconds(4);
-/// Until all entries that send there have heard of a rate.
+/// Time until all entries that send to an endpoint have received its rate
+/// limit.
 static constexpr Duration SettleTime = milliseconds(600);
 
-/// What one holder more than usual may add: entries' views of the fleet differ
-/// for a while when one of them ends or is cut off.
+/// The most requests in a window with one additional rate limit owner: entries'
+/// membership views differ for a while when an entry exits or is partitioned
+/// from the others.
 static std::size_t allowed(double perSecond) {
   return std::size_t(1.5 * perSecond * 4) + 5;
 }
 
-/// The rate and one request of each holder.
+/// The most requests in a window: the rate limit and one request of each rate
+/// limit owner.
 static std::size_t planned(double perSecond) {
   return std::size_t(perSecond * 4 + std::max(1.0, perSecond)) + 1;
 }
 
-// Twenty entries that each kept to the rate would send twenty times as much.
-TEST_CASE("more entries than a rate has places keep it together") {
+// Guards against entries that each apply the whole limit: twenty entries would
+// send twenty times as much.
+TEST_CASE("more entries than requests per second keep within a rate limit") {
   for (double rate : {0.5, 1.0, 2.5, 8.0}) {
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
       CAPTURE(rate);
@@ -44,7 +48,7 @@
       TimePoint from = fleet.now() + SettleTime;
       fleet.run(seconds(20));
       CHECK(fleet.mostWithin(0, Window, from, true) <= planned(rate));
-      // It is not left out either.
+      // The endpoint still gets at least half of its limit.
       CHECK(fleet.mostWithin(0, seconds(18), from, true) >=
             std::size_t(rate * 18 / 2));
       CHECK(fleet.outcomes().Refused.empty());
@@ -52,7 +56,7 @@
   }
 }
 
-TEST_CASE("a rate that falls, rises and is named no more is followed") {
+TEST_CASE("entries follow a rate limit that is lowered, raised and lifted") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     NeedyFleet fleet(seed);
@@ -72,15 +76,15 @@
     fleet.run(seconds(3));
     TimePoint lifted = fleet.now();
     fleet.run(seconds(3));
-    // A sixth of all requests.
+    // The endpoint's share is a sixth of all requests.
     CHECK(fleet.mostWithin(0, seconds(2), lifted, true) >= 25);
     for (unsigned i = 0; i < 20; ++i)
       CHECK(fleet.node(i).rates().limitedCount() == 0);
   }
 }
 
-TEST_CASE("a rate holds while entries are killed, frozen and cut off and the "
-          "store is away") {
+TEST_CASE("a rate limit is kept while entries are killed, frozen and "
+          "partitioned during an outage of the key-value store") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     NeedyFleet fleet(seed);
@@ -108,8 +112,8 @@
   }
 }
 
-TEST_CASE("entries that hear nothing of each other do not try a limited "
-          "endpoint together") {
+TEST_CASE("entries that receive no reports of each other do not all try a "
+          "limited endpoint at once") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     NeedyFleet fleet(seed);
@@ -131,7 +135,8 @@
     fleet.run(seconds(3));
     fleet.name(0, 1);
     fleet.run(seconds(2));
-    // Two entries get all requests; with this seed or that neither holds it.
+    // Two entries get all requests; with some seeds neither of them is an owner
+    // of the limit.
     fleet.useEntries(2);
     fleet.name(0, std::nullopt);
     fleet.run(seconds(60));
@@ -141,8 +146,8 @@
   }
 }
 
-TEST_CASE("with all endpoints limited the rest is refused at once and returns "
-          "spread") {
+TEST_CASE("requests beyond the rate limits of all endpoints are refused soon, "
+          "with varied Retry-After times") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     FleetShape shape;
@@ -155,7 +160,7 @@
     test::FleetOutcomes before = fleet.outcomes();
     fleet.run(seconds(10));
     const test::FleetOutcomes &after = fleet.outcomes();
-    // Thirty a second.
+    // All limits together allow thirty requests per second.
     CHECK(after.Served - before.Served >= 240);
     CHECK(after.Served - before.Served <= 340);
     CHECK(after.Refused.size() == 1);
@@ -166,16 +171,17 @@
                                   after.RetryAfters.end());
     REQUIRE(returns.size() >= 500);
     std::sort(returns.begin(), returns.end());
-    // The middle half of them spans a third of their median or more.
+    // The interquartile range is at least a third of the median.
     Duration span =
         returns[returns.size() * 3 / 4] - returns[returns.size() / 4];
     CHECK(span * 3 >= returns[returns.size() / 2]);
   }
 }
 
-// Callers keep their connections, so entries that restarted have none for a
-// while. What such entries may send was lost to the callers of the others.
-TEST_CASE("entries without callers keep no part of a rate from the others") {
+// Guards against shares of a limit that go unused: callers keep their
+// connections, so restarted entries have no callers for a while, and callers of
+// other entries could not use the shares of these entries.
+TEST_CASE("entries without callers take no share of a rate limit") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     FleetShape shape;
@@ -188,14 +194,14 @@
     TimePoint from = fleet.now();
     unsigned before = fleet.outcomes().Served;
     fleet.run(seconds(10));
-    // Thirty a second.
+    // All limits together allow thirty requests per second.
     CHECK(fleet.outcomes().Served - before >= 240);
     for (unsigned i = 0; i < shape.Endpoints; ++i)
       CHECK(fleet.mostWithin(i, Window, from, true) <= planned(5));
   }
 }
 
-TEST_CASE("a rate that is named no more is noticed though its holders have no "
+TEST_CASE("a lifted rate limit is noticed even if its owners have no "
           "callers") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
@@ -215,7 +221,7 @@
   }
 }
 
-TEST_CASE("a rate holds while callers move from some entries to others") {
+TEST_CASE("a rate limit is kept while callers switch between entries") {
   constexpr double Rate = 2;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
@@ -234,7 +240,8 @@
   }
 }
 
-TEST_CASE("entries that are cut off take no part that another one left") {
+TEST_CASE("partitioned entries do not take over another entry's share of a "
+          "rate limit") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     FleetShape shape;
--- a/unittests/Pushback/RateLimitsTest.cpp
+++ b/unittests/Pushback/RateLimitsTest.cpp
@@ -1,6 +1,7 @@
-//===- RateLimitsTest.cpp - what stands of several statements -------------===//
+//===- RateLimitsTest.cpp - order of rate limit updates -------------------===//
 //
-// Answers of many connections overtake each other, and reports come late.
+// Responses on different connections overtake each other, and reports of other
+// entries arrive late. Neither may replace a newer rate limit.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,8 +23,8 @@
 
 static bool isKnown(LifeDigest /*life*/) { return true; }
 
-TEST_CASE("an answer to a request that was sent before lifts and raises "
-          "nothing") {
+TEST_CASE("a response to an earlier request neither lifts nor raises a rate "
+          "limit") {
   RateLimits limits;
   limits.onAnswer(Life, 2.0, Start, Start + seconds(1));
   limits.onAnswer(Life, std::nullopt, Start + milliseconds(900),
@@ -31,7 +32,7 @@
   CHECK(limits.namedRate(Life) == 2.0);
   limits.onAnswer(Life, 9.0, Start + milliseconds(900), Start + seconds(2));
   CHECK(limits.namedRate(Life) == 2.0);
-  // It may make it stricter.
+  // Such a response may lower the limit.
   limits.onAnswer(Life, 1.0, Start + milliseconds(900), Start + seconds(2));
   CHECK(limits.namedRate(Life) == 1.0);
   limits.onAnswer(Life, 9.0, Start + seconds(3), Start + seconds(4));
@@ -40,7 +41,7 @@
   CHECK_FALSE(limits.isLimited(Life));
 }
 
-TEST_CASE("a report that was sent before a lift sets nothing again") {
+TEST_CASE("a report that was sent before a limit was lifted sets no limit") {
   RateLimits limits;
   limits.onAnswer(Life, 2.0, Start, Start + seconds(1));
   limits.onAnswer(Life, std::nullopt, Start + seconds(2), Start + seconds(3));
@@ -52,7 +53,7 @@
   CHECK(limits.isLimited(Life));
 }
 
-TEST_CASE("an endpoint that takes nothing is tried once in a while") {
+TEST_CASE("an endpoint with a rate limit of zero is tried occasionally") {
   RateLimits limits;
   limits.onAnswer(Life, 0.0, Start, Start);
   unsigned taken = 0;
@@ -62,7 +63,7 @@
   CHECK(taken <= 6);
 }
 
-TEST_CASE("a sender that was idle sends no burst") {
+TEST_CASE("an idle sender does not accumulate tokens for a burst") {
   RateLimits limits;
   limits.onAnswer(Life, 5.0, Start, Start);
   TimePoint later = Start + seconds(9);
@@ -70,7 +71,8 @@
   CHECK_FALSE(limits.take(Life, later));
 }
 
-TEST_CASE("what is kept and told of rates is bounded") {
+TEST_CASE("tables and reports of rate limits, backoffs and leaving endpoints "
+          "are bounded") {
   RateLimits limits;
   TimePoint now = Start;
   for (std::uint64_t i = 0; i < 3 * RateLimits::MaxEndpoints; ++i)
@@ -89,7 +91,7 @@
   CHECK(closed.takeLeavingReport().size() <= 32);
 }
 
-TEST_CASE("a report carries rates, and what is no rate is dropped") {
+TEST_CASE("a report carries rate limits, and invalid ones are dropped") {
   constexpr double Nan = std::numeric_limits<double>::quiet_NaN();
   constexpr double Inf = std::numeric_limits<double>::infinity();
   LoadReport out{"n", {}, {}, {}, {}, {LifeDigest(8)}, true};
--- a/unittests/Quarantine/CrashTrackerTest.cpp
+++ b/unittests/Quarantine/CrashTrackerTest.cpp
@@ -1,7 +1,8 @@
-//===- CrashTrackerTest.cpp - who ended an endpoint -----------------------===//
+//===- CrashTrackerTest.cpp - finding requests that crash endpoints -------===//
 //
-// The request that ends endpoints, what ran beside it, and endpoints that end
-// by themselves are to be told apart, in a table that callers cannot fill.
+// The tracker must distinguish a request that crashes endpoints from requests
+// that ran on the same endpoint and from endpoints that crash for other
+// reasons, in a table that callers can't fill.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,14 +27,16 @@
 
 static LifeDigest life(std::uint64_t n) { return LifeDigest(n); }
 
-/// An end under \p request, judged when its time has come.
+/// Records a crash under \p request. Returns whether a request is quarantined
+/// once the verdict is due.
 static bool crash(CrashTracker &tracker, RequestDigest request, unsigned lifeOf,
                   Duration ran, TimePoint now) {
   tracker.onCrash(request, life(lifeOf), ran, Endpoints, now);
   return !tracker.judge(now + CrashLimits().SettleTime).empty();
 }
 
-TEST_CASE("three quick ends in quiet times are proof enough, fewer are not") {
+TEST_CASE("a request is quarantined at the third crash after short attempts "
+          "if nothing else crashes") {
   CrashTracker tracker;
   CHECK_FALSE(crash(tracker, Killer, 1, Quick, Start));
   CHECK(tracker.standingOf(Killer) == CrashStanding::Suspect);
@@ -42,7 +45,7 @@
   CHECK(tracker.standingOf(Killer) == CrashStanding::Quarantined);
 }
 
-TEST_CASE("the same life does not count twice") {
+TEST_CASE("a crash of the same incarnation does not count twice") {
   CrashTracker tracker;
   for (unsigned i = 0; i < 10; ++i)
     crash(tracker, Killer, 1, Quick, Start);
@@ -50,14 +53,14 @@
   CHECK(tracker.standingOf(Killer) == CrashStanding::Suspect);
 }
 
-TEST_CASE("a whole answer clears a request") {
+TEST_CASE("a complete response clears a request") {
   CrashTracker tracker;
   crash(tracker, Killer, 1, Quick, Start);
   tracker.onWhole(Killer, Start + seconds(1));
   CHECK(tracker.standingOf(Killer) == CrashStanding::Unknown);
   TimePoint now = Start + seconds(2);
   CHECK_FALSE(crash(tracker, Killer, 2, Quick, now));
-  // Late news of what was before do not count any more.
+  // A late report of a crash before that response does not count.
   CrashRow late;
   late.Request = Killer;
   late.Crashes.push_back({life(1), now - Start, Quick});
@@ -65,9 +68,9 @@
   CHECK(tracker.crashesOf(Killer) == 1);
 }
 
-TEST_CASE("ends that come in waves prove less") {
+TEST_CASE("crashes are weaker evidence while other endpoints crash too") {
   CrashTracker tracker;
-  // Seven endpoints end in the seconds before, under other requests.
+  // Seven endpoints crash under other requests in the seconds before.
   for (unsigned i = 0; i < 7; ++i)
     crash(tracker, RequestDigest(100 + i), 100 + i, seconds(1),
           Start - seconds(i));
@@ -75,16 +78,16 @@
   for (unsigned i = 1; i <= 3; ++i, now += seconds(1))
     CHECK_FALSE(crash(tracker, Killer, i, milliseconds(400), now));
   CHECK(tracker.chanceOf(Killer, now) > 1e-6);
-  // Whatever else ends, there is an end to it.
+  // At MostCrashes the request is quarantined whatever else crashes.
   CHECK(crash(tracker, Killer, 4, milliseconds(400), now));
 }
 
-TEST_CASE(
-    "of two requests at the same ends neither is blamed before they part") {
+TEST_CASE("of two requests that were running at the same crashes neither is "
+          "quarantined until one meets a crash alone") {
   CrashTracker tracker;
   TimePoint now = Start;
   for (unsigned i = 1; i <= 3; ++i, now += seconds(1)) {
-    // One entry hears of it a moment before the other.
+    // One entry learns of the crash 5 ms before the other.
     tracker.onCrash(Beside, life(i), Quick, Endpoints, now);
     CHECK(tracker.judge(now + milliseconds(5)).empty());
     CHECK_FALSE(crash(tracker, Killer, i, Quick, now + milliseconds(5)));
@@ -92,13 +95,13 @@
   CHECK(tracker.standingOf(Killer) == CrashStanding::Suspect);
   CHECK(tracker.standingOf(Beside) == CrashStanding::Suspect);
   CHECK(crash(tracker, Killer, 4, Quick, now));
-  // What the one did does not speak against the other.
+  // Crashes explained by one request are no evidence against the other.
   CHECK(tracker.standingOf(Beside) == CrashStanding::Unknown);
   CHECK_FALSE(crash(tracker, Beside, 3, Quick, now));
   CHECK(tracker.standingOf(Beside) == CrashStanding::Unknown);
 }
 
-TEST_CASE("a quarantined request that gets a whole answer after all is free") {
+TEST_CASE("a late complete response clears a quarantined request") {
   CrashTracker tracker;
   for (unsigned i = 0; i < 3; ++i)
     crash(tracker, Killer, i, Quick, Start + seconds(i));
@@ -108,7 +111,8 @@
   CHECK(tracker.cleared() == std::vector{Killer});
 }
 
-/// Everything that \p from tells in a while, in any order and more than once.
+/// Returns all records that \p from announces within ten seconds, repeats
+/// included.
 static std::vector<CrashRow> tellAll(CrashTracker &from, TimePoint now) {
   std::vector<CrashRow> out;
   for (unsigned i = 0; i < 100; ++i, now += milliseconds(100))
@@ -117,11 +121,12 @@
   return out;
 }
 
-TEST_CASE("what entries tell each other may come in any order, at any time") {
+TEST_CASE("reports of other entries may arrive late and in any order") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
-    // One sees the first end and a whole answer of another request, another the
-    // two later ends; neither has proof.
+    // The first entry sees the first crash and a complete response to another
+    // request, the second entry sees the two later crashes. Neither has enough
+    // evidence alone.
     CrashTracker first;
     CrashTracker second;
     first.onCrash(Killer, life(1), Quick, Endpoints, Start);
@@ -133,7 +138,8 @@
     std::vector<CrashRow> told = tellAll(first, now);
     for (CrashRow &it : tellAll(second, now))
       told.push_back(std::move(it));
-    // All ages were told within ten seconds; make them of one moment.
+    // The records were announced within ten seconds; merge all of them at the
+    // end of that time.
     std::shuffle(told.begin(), told.end(), random);
     CrashTracker third;
     for (const CrashRow &it : told)
@@ -144,7 +150,8 @@
   }
 }
 
-TEST_CASE("callers who send a new body each time cannot fill the table") {
+TEST_CASE("callers that send a different body each time can't evict a "
+          "quarantined request") {
   CrashLimits limits;
   CrashTracker tracker(limits);
   for (unsigned i = 0; i < 3; ++i)
@@ -162,11 +169,11 @@
   }
   CHECK(tracker.rowCount() <= limits.MaxRows);
   CHECK(tracker.standingOf(Killer) == CrashStanding::Quarantined);
-  // A report must fit into what one datagram takes without being split often.
+  // A datagram that holds a report must not be fragmented often.
   CHECK(mostBytes <= 4096);
 }
 
-TEST_CASE("what nobody sends any more is forgotten, what comes again is not") {
+TEST_CASE("quarantined requests expire unless they are received again") {
   CrashTracker tracker;
   for (RequestDigest it : {Killer, Beside}) {
     for (unsigned i = 0; i < 3; ++i)
@@ -183,7 +190,8 @@
   CHECK(tracker.quarantined() == std::vector{Killer});
 }
 
-TEST_CASE("rows pass a datagram unchanged, and damaged ones are bounded") {
+TEST_CASE("records are decoded unchanged, and oversized reports are "
+          "truncated") {
   CrashRow row;
   row.Request = Killer;
   row.Endpoints = 16;
@@ -207,7 +215,8 @@
   CHECK(got.ClearedAge == Duration(seconds(4)));
 }
 
-TEST_CASE("what an entry hears of old rows does not grow with the fleet") {
+TEST_CASE("the rate of repeated records that an entry receives does not grow "
+          "with the fleet") {
   for (std::size_t entries : {4, 52, 370}) {
     CrashTracker tracker;
     for (std::uint64_t i = 0; i < 200; ++i)
@@ -216,7 +225,7 @@
                         Endpoints, Start);
     tracker.judge(Start + seconds(1));
     TimePoint now = Start + seconds(60);
-    // What is new has been told by then.
+    // All first announcements are made by then.
     for (unsigned i = 0; i < 100; ++i)
       tracker.takeRows(entries, Start + seconds(1));
     std::size_t bytes = 0;
@@ -224,7 +233,8 @@
       LoadReport report{"n", {}, {tracker.takeRows(entries, now), {}}};
       bytes += encodeLoad(report).size() - encodeLoad({"n", {}, {}}).size();
     }
-    // A minute of one of them; all others tell as much.
+    // These are the bytes of one entry in a minute; every other entry sends as
+    // many.
     std::size_t perSecond = bytes * entries / 60;
     CHECK(perSecond <= 9000);
     CHECK(perSecond > 0);
--- a/unittests/Quarantine/QuarantineStoreTest.cpp
+++ b/unittests/Quarantine/QuarantineStoreTest.cpp
@@ -1,7 +1,7 @@
-//===- QuarantineStoreTest.cpp - quarantined requests that last -----------===//
+//===- QuarantineStoreTest.cpp - persisting quarantined requests ----------===//
 //
-// Entries that end all at once must not forget, and an outage of the store must
-// not make them write too much or too little.
+// Quarantined requests must survive the exit of all entries. An outage of the
+// key-value store must cause neither lost nor excessive writes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +20,8 @@
 static constexpr RequestDigest Second(0x22);
 
 namespace {
-/// Some entries' stores on virtual time before one service.
+/// The QuarantineStores of several entries and one key-value store, on virtual
+/// time.
 class StoreWorld {
 public:
   explicit StoreWorld(unsigned entries) {
@@ -58,7 +59,7 @@
 };
 } // namespace
 
-TEST_CASE("what one entry quarantined a later one restores") {
+TEST_CASE("an entry restores requests that an earlier entry quarantined") {
   StoreWorld world(1);
   world.run(seconds(1));
   world.Entries[0].setOwn({First}, {}, world.Now);
@@ -69,7 +70,7 @@
   CHECK(world.Restored == std::vector{First});
 }
 
-TEST_CASE("all entries hear of a request, few write it") {
+TEST_CASE("few of the entries that learn of a quarantined request write it") {
   StoreWorld world(52);
   world.run(seconds(1));
   for (QuarantineStore &it : world.Entries)
@@ -80,7 +81,7 @@
     CHECK(it.stored() == std::vector{First});
 }
 
-TEST_CASE("what was quarantined in an outage is written after it") {
+TEST_CASE("requests quarantined in a store outage are written after it") {
   StoreWorld world(2);
   world.run(seconds(1));
   world.IsOut = true;
@@ -97,7 +98,7 @@
   CHECK(world.Restored.size() == 2);
 }
 
-TEST_CASE("a request that was cleared is taken out of the store") {
+TEST_CASE("a cleared request is removed from the store") {
   StoreWorld world(1);
   world.run(seconds(1));
   world.Entries[0].setOwn({First, Second}, {}, world.Now);
@@ -107,7 +108,7 @@
   CHECK(world.Entries[0].stored() == std::vector{Second});
 }
 
-TEST_CASE("the value lasts as long as it is known, and not for ever") {
+TEST_CASE("the value is kept while an entry knows it and expires after that") {
   StoreWorld world(1);
   world.run(seconds(1));
   world.Entries[0].setOwn({First}, {}, world.Now);
@@ -116,7 +117,7 @@
   world.run(seconds(1));
   CHECK(world.Restored == std::vector{First});
   CHECK(world.Writes <= 6);
-  // Nobody knows it any more.
+  // No entry is left that knows the request.
   world.Restored.clear();
   world.Entries.clear();
   world.run(minutes(1));
@@ -126,7 +127,7 @@
   CHECK(world.Restored.empty());
 }
 
-TEST_CASE("the value is bounded") {
+TEST_CASE("the stored value is bounded") {
   StoreWorld world(1);
   world.run(seconds(1));
   std::vector<RequestDigest> many;
