--- a/include/ospreyspur/Pushback/ClosedEndpoints.h
+++ b/include/ospreyspur/Pushback/ClosedEndpoints.h
@@ -35,12 +35,12 @@
 
   // Commands.
 
-  /// Starts a backoff of \p rest for \p life. An earlier backoff that ends
-  /// later stays in force.
-  void onRest(LifeDigest life, Duration rest, TimePoint now);
-  /// Records that \p life is leaving. \p isTold: another process reported it,
-  /// so this one doesn't announce it.
-  void onLeaving(LifeDigest life, bool isTold, TimePoint now);
+  /// Starts a backoff of \p incarnation for the time \p backoff. An earlier
+  /// backoff that ends later stays in force.
+  void onRest(LifeDigest incarnation, Duration backoff, TimePoint now);
+  /// Records that \p incarnation is leaving. \p isFromPeer: another process
+  /// reported it, so this one doesn't announce it.
+  void onLeaving(LifeDigest incarnation, bool isFromPeer, TimePoint now);
   /// Returns the leaving incarnations to announce to the other entries now.
   std::vector<LifeDigest> takeLeavingReport();
   /// Returns the incarnations found to be leaving since the last call, for the
@@ -53,18 +53,20 @@
 
   // Queries.
 
-  bool isResting(LifeDigest life, TimePoint now) const {
-    return restUntil(life) > now;
+  bool isResting(LifeDigest incarnation, TimePoint now) const {
+    return restUntil(incarnation) > now;
   }
-  /// When the backoff of \p life ends or ended; the earliest time if it has
-  /// none.
-  TimePoint restUntil(LifeDigest life) const;
+  /// When the backoff of \p incarnation ends or ended; the earliest time if it
+  /// has none.
+  TimePoint restUntil(LifeDigest incarnation) const;
   /// The earliest end of a backoff after \p now.
   std::optional<TimePoint> nextEnd(TimePoint now) const;
   std::size_t restingCount(TimePoint now) const;
-  bool isLeaving(LifeDigest life) const { return Leaving.contains(life); }
+  bool isLeaving(LifeDigest incarnation) const {
+    return Leaving.contains(incarnation);
+  }
   std::size_t leavingCount() const { return Leaving.size(); }
-  bool isEmpty() const { return RestUntil.empty() && Leaving.empty(); }
+  bool isEmpty() const { return BackoffUntil.empty() && Leaving.empty(); }
 
 private:
   static constexpr std::size_t MaxNotes = 64;
@@ -72,17 +74,17 @@
   static constexpr Duration KeepLeavingFor = std::chrono::hours(1);
   /// Each leaving incarnation is announced in this many reports, as datagrams
   /// may be lost.
-  static constexpr unsigned LeavingTellings = 3;
+  static constexpr unsigned LeavingAnnouncements = 3;
   /// Most leaving incarnations in one report.
-  static constexpr std::size_t MaxToldLeaving = 32;
+  static constexpr std::size_t MaxLeavingPerReport = 32;
 
-  struct LeavingLife {
-    TimePoint SaidAt;
-    unsigned Tellings = 0;
+  struct LeavingIncarnation {
+    TimePoint ReportedAt;
+    unsigned RemainingAnnouncements = 0;
   };
 
-  std::unordered_map<LifeDigest, TimePoint> RestUntil;
-  std::unordered_map<LifeDigest, LeavingLife> Leaving;
+  std::unordered_map<LifeDigest, TimePoint> BackoffUntil;
+  std::unordered_map<LifeDigest, LeavingIncarnation> Leaving;
   std::vector<LifeDigest> LeavingNotes;
   std::vector<RestNote> Notes;
 };
--- a/include/ospreyspur/Pushback/RateLimits.h
+++ b/include/ospreyspur/Pushback/RateLimits.h
@@ -43,10 +43,10 @@
   /// accepts requests again.
   static constexpr double MinPerSecond = 0.1;
   /// If no response or report confirmed a limit for this long, one more entry
-  /// may send to the endpoint, and another one each time ExtraHolderPause
+  /// may send to the endpoint, and another one each time ExtraOwnerInterval
   /// passes: the rate limit owners may be idle or partitioned from the others.
-  static constexpr Duration QuietTime = std::chrono::seconds(10);
-  static constexpr Duration ExtraHolderPause = std::chrono::seconds(2);
+  static constexpr Duration ExtraOwnerDelay = std::chrono::seconds(10);
+  static constexpr Duration ExtraOwnerInterval = std::chrono::seconds(2);
   /// A limit that no response or report confirmed for this long is dropped.
   static constexpr Duration KeepFor = std::chrono::minutes(10);
   /// How long a lifted limit is kept and announced as lifted: a report that was
@@ -54,19 +54,19 @@
   static constexpr Duration KeepLiftFor = std::chrono::seconds(20);
   /// A limit that a response confirms is announced again if its last
   /// announcement is at least this old.
-  static constexpr Duration RetellAfter = std::chrono::seconds(3);
+  static constexpr Duration ReannounceAfter = std::chrono::seconds(3);
   /// Each change is announced in this many reports, as datagrams may be lost.
-  static constexpr unsigned ChangeTellings = 3;
-  static constexpr std::size_t MaxRowsPerReport = 16;
+  static constexpr unsigned ChangeAnnouncements = 3;
+  static constexpr std::size_t MaxRecordsPerReport = 16;
   static constexpr std::size_t MaxEndpoints = 4096;
 
   // Commands.
 
   /// Sets the entries that share limits. Also drops expired limits.
   void setMembers(FleetMembers members, TimePoint now);
-  /// Applies the limit \p perSecond, empty for none, from a response of \p life
-  /// to a request that was sent at \p sentAt.
-  void onAnswer(LifeDigest life, std::optional<double> perSecond,
+  /// Applies the limit \p perSecond, empty for none, from a response of
+  /// \p incarnation to a request that was sent at \p sentAt.
+  void onAnswer(LifeDigest incarnation, std::optional<double> perSecond,
                 TimePoint sentAt, TimePoint now);
   /// Merges another entry's report. Records of incarnations for which
   /// \p isKnown returns false are ignored.
@@ -75,35 +75,38 @@
              TimePoint now) {
     for (const RateLimitRow &it : rows)
       if (isKnown(it.Life))
-        mergeRow(it, now);
+        mergeRecord(it, now);
   }
   /// Returns the records to announce to the other entries now.
   std::vector<RateLimitRow> takeReport(TimePoint now);
   /// Announces the limits for which this entry is among the first owners once
   /// more, as another entry has started. Has no effect if the last call was
-  /// less than TellAgainAfter ago.
+  /// less than NewEntryAnnounceInterval ago.
   void tellAgain(TimePoint now);
-  /// Takes a token for one request to \p life. Returns false if the limit
-  /// leaves this entry none now.
-  bool take(LifeDigest life, TimePoint now);
+  /// Takes a token for one request to \p incarnation. Returns false if the
+  /// limit leaves this entry none now.
+  bool take(LifeDigest incarnation, TimePoint now);
   /// Returns the changes since the last call, for the log.
   std::vector<RateLimitNote> takeNotes() { return std::exchange(Notes, {}); }
 
   // Queries.
 
   bool hasNotes() const { return !Notes.empty(); }
-  /// Whether a rate limit of \p life is in force.
-  bool isLimited(LifeDigest life) const;
-  /// Whether \p life has advertised a rate limit recently, be it in force or
-  /// lifted.
-  bool isKnown(LifeDigest life) const { return Limits.contains(life); }
+  /// Whether a rate limit of \p incarnation is in force.
+  bool isLimited(LifeDigest incarnation) const;
+  /// Whether \p incarnation has advertised a rate limit recently, be it in
+  /// force or lifted.
+  bool isKnown(LifeDigest incarnation) const {
+    return Limits.contains(incarnation);
+  }
   /// Whether take() would succeed.
-  bool hasRoom(LifeDigest life, TimePoint now) const;
-  /// The number of requests that this entry may send to \p life from \p now
-  /// until \p until, if \p life is limited.
-  double roomUntil(LifeDigest life, TimePoint now, TimePoint until) const;
-  /// The rate limit of \p life in requests per second; 0 if it has none.
-  double namedRate(LifeDigest life) const;
+  bool hasRoom(LifeDigest incarnation, TimePoint now) const;
+  /// The number of requests that this entry may send to \p incarnation from
+  /// \p now until \p until, if \p incarnation is limited.
+  double roomUntil(LifeDigest incarnation, TimePoint now,
+                   TimePoint until) const;
+  /// The rate limit of \p incarnation in requests per second; 0 if it has none.
+  double namedRate(LifeDigest incarnation) const;
   /// The number of entries that share a limit, including this one.
   std::size_t memberCount() const { return Members.Others.size() + 1; }
   /// The earliest time at which this entry may send to a limited endpoint to
@@ -120,21 +123,21 @@
     /// Empty after a response without a limit lifted it.
     std::optional<double> PerSecond;
     TimePoint SentAt;
-    TimePoint HeardAt;
+    TimePoint ReceivedAt;
     TimePoint ChangedAt;
-    TimePoint ToldAt;
-    unsigned Tellings = 0;
+    TimePoint AnnouncedAt;
+    unsigned RemainingAnnouncements = 0;
     /// This entry's rank among the entries that share the limit, and the number
     /// of owners while the limit is confirmed regularly.
     std::size_t Rank = 0;
-    std::size_t Holders = 1;
+    std::size_t Owners = 1;
     TokenBucket Bucket;
   };
 
-  struct Statement {
+  struct LimitUpdate {
     std::optional<double> PerSecond;
     TimePoint SentAt;
-    TimePoint HeardAt;
+    TimePoint ReceivedAt;
   };
 
   /// Upper estimate of the time from sending a report to its arrival.
@@ -142,24 +145,25 @@
   static constexpr std::size_t MaxNotes = 64;
   /// The number of entries that announce a limit again when another entry
   /// starts.
-  static constexpr std::size_t Tellers = 2;
+  static constexpr std::size_t NewEntryAnnouncers = 2;
   /// Shortest time between two such announcements.
-  static constexpr Duration TellAgainAfter = std::chrono::milliseconds(500);
+  static constexpr Duration NewEntryAnnounceInterval =
+      std::chrono::milliseconds(500);
 
   static bool isStricter(const std::optional<double> &a,
                          const std::optional<double> &b);
-  void mergeRow(const RateLimitRow &row, TimePoint now);
-  bool apply(LifeDigest life, const Statement &said, bool isTold,
+  void mergeRecord(const RateLimitRow &row, TimePoint now);
+  bool apply(LifeDigest incarnation, const LimitUpdate &update, bool isFromPeer,
              TimePoint now);
-  void share(LifeDigest life, Limit &limit, TimePoint now) const;
-  static bool isHolder(const Limit &limit, TimePoint now);
+  void updateShare(LifeDigest incarnation, Limit &limit, TimePoint now) const;
+  static bool isOwner(const Limit &limit, TimePoint now);
   static std::optional<TimePoint> nextRoomOf(const Limit &limit, TimePoint now);
-  const Limit *findActive(LifeDigest life) const;
+  const Limit *findActive(LifeDigest incarnation) const;
 
   FleetMembers Members;
   std::unordered_map<LifeDigest, Limit> Limits;
   std::vector<RateLimitNote> Notes;
-  TimePoint ToldAgainAt;
+  TimePoint NewEntryAnnouncedAt;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Quarantine/CrashRelay.h
+++ b/include/ospreyspur/Quarantine/CrashRelay.h
@@ -45,7 +45,7 @@
   CrashTracker Crashes;
   std::set<LinkId> Entries;
   /// Subscribers whose last report listed attempts of suspect requests.
-  std::set<LinkId> Running;
+  std::set<LinkId> EntriesWithSuspects;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Quarantine/CrashTracker.h
+++ b/include/ospreyspur/Quarantine/CrashTracker.h
@@ -37,7 +37,7 @@
   /// first, among equals the one that was received longest ago.
   std::size_t MaxRows = 256;
   /// Most crashed incarnations in the table. The oldest is evicted first.
-  std::size_t MaxLives = 512;
+  std::size_t MaxIncarnations = 512;
   /// How long a request is kept after it was last received or an endpoint last
   /// crashed under it.
   Duration KeepRows = std::chrono::minutes(10);
@@ -46,7 +46,7 @@
   /// A request is quarantined at this number of crashes, however many other
   /// endpoints crash. On the platform a request has two attempts and is sent
   /// again once, so an innocent request has no attempt left by then.
-  unsigned MostCrashes = 4;
+  unsigned QuarantineCrashes = 4;
   /// A request with fewer crashes is quarantined if endpoints that crash for
   /// other reasons cause as many with at most this probability. It corresponds
   /// to one request among those of several hours.
@@ -57,10 +57,10 @@
   Duration SettleTime = std::chrono::milliseconds(100);
   /// Crashes within this time before and after a crash count towards the crash
   /// rate around that crash.
-  Duration RateSpan = std::chrono::seconds(10);
+  Duration RateWindow = std::chrono::seconds(10);
   /// Shorter attempts count as this long: a request that was just sent may have
   /// reached an endpoint that was already crashing.
-  Duration ShortestRun = std::chrono::milliseconds(250);
+  Duration MinAttemptTime = std::chrono::milliseconds(250);
   /// A new record is announced in this many consecutive reports, as datagrams
   /// may be lost.
   unsigned Tellings = 3;
@@ -71,11 +71,11 @@
   /// and none while there are none.
   Duration RefreshEvery = std::chrono::milliseconds(25);
   /// Most records that are announced again in one report.
-  std::size_t RefreshRows = 2;
+  std::size_t RefreshRecords = 2;
   /// Most records in a report.
   std::size_t MaxReportRows = 32;
   /// After this time the attempts that another entry reported are ignored.
-  Duration PeerRunAge = std::chrono::seconds(1);
+  Duration PeerAttemptMaxAge = std::chrono::seconds(1);
 };
 
 /// The verdict on a request.
@@ -94,9 +94,9 @@
 
   // Commands.
 
-  /// Records that the incarnation \p life crashed after it had run \p request
-  /// for \p ran. The request's service has \p endpoints endpoints.
-  void onCrash(RequestDigest request, LifeDigest life, Duration ran,
+  /// Records that \p incarnation crashed after it had run \p request for
+  /// \p ran. The request's service has \p endpoints endpoints.
+  void onCrash(RequestDigest request, LifeDigest incarnation, Duration ran,
                std::size_t endpoints, TimePoint now);
   /// Clears \p request, as it got a complete response.
   void onWhole(RequestDigest request, TimePoint now);
@@ -140,8 +140,8 @@
   /// \p request.
   std::set<LifeDigest> livesOfOthers(RequestDigest request,
                                      TimePoint now) const;
-  /// When \p life crashed; empty if no crash is known.
-  std::optional<TimePoint> endOf(LifeDigest life) const;
+  /// When \p incarnation crashed; empty if no crash is known.
+  std::optional<TimePoint> endOf(LifeDigest incarnation) const;
   bool isEmpty() const { return Rows.empty(); }
   std::size_t rowCount() const { return Rows.size(); }
   /// The quarantined requests, the most recently received ones first.
@@ -165,10 +165,10 @@
     std::optional<TimePoint> ClearedAt;
     std::optional<TimePoint> QuarantinedAt;
     /// When the verdict is due, if there are new crashes.
-    std::optional<TimePoint> JudgeAt;
-    unsigned Tellings = 0;
+    std::optional<TimePoint> VerdictAt;
+    unsigned RemainingAnnouncements = 0;
   };
-  struct Life {
+  struct CrashedIncarnation {
     TimePoint At;
     /// Whether it crashed while it ran a quarantined request.
     bool IsExplained = false;
@@ -179,29 +179,31 @@
   };
 
   Row &rowOf(RequestDigest request, TimePoint now);
-  void makeRoom(TimePoint now);
+  void evictIfFull(TimePoint now);
   bool addCrash(Row &row, const Crash &crash);
-  void addLife(LifeDigest life, TimePoint at);
-  bool isProven(RequestDigest request, const Row &row, TimePoint now) const;
-  std::vector<RequestDigest> judgeBefore(std::optional<TimePoint> due,
-                                         TimePoint now);
-  void explain(RequestDigest request, const Row &row);
-  bool hasTwin(RequestDigest request, const Row &row) const;
+  void addIncarnation(LifeDigest incarnation, TimePoint at);
+  bool hasEnoughEvidence(RequestDigest request, const Row &row,
+                         TimePoint now) const;
+  std::vector<RequestDigest> updateDueVerdicts(std::optional<TimePoint> due,
+                                               TimePoint now);
+  void attributeCrashes(RequestDigest request, const Row &row);
+  bool hasCoincidentRequest(RequestDigest request, const Row &row) const;
   double chanceOf(const Row &row, TimePoint now) const;
-  bool mergeRow(const CrashRow &in, TimePoint now);
+  bool mergeRecord(const CrashRow &in, TimePoint now);
   void clear(Row &row, TimePoint at);
   void refresh(std::vector<CrashRow> &out, TimePoint now);
-  void forget(TimePoint now);
-  CrashRow tell(RequestDigest request, const Row &row, TimePoint now) const;
+  void expire(TimePoint now);
+  CrashRow makeRecord(RequestDigest request, const Row &row,
+                      TimePoint now) const;
 
   CrashLimits Limits;
   std::map<RequestDigest, Row> Rows;
-  std::unordered_map<LifeDigest, Life> Lives;
+  std::unordered_map<LifeDigest, CrashedIncarnation> Incarnations;
   std::map<std::string, PeerRuns> Peers;
   std::uint64_t Changes = 0;
   TimePoint RefreshAt;
   /// The record that was announced again last in the rotation.
-  RequestDigest Refreshed;
+  RequestDigest LastRefreshed;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Quarantine/QuarantineStore.h
+++ b/include/ospreyspur/Quarantine/QuarantineStore.h
@@ -37,8 +37,8 @@
   /// request only if no other entry has done so.
   static constexpr Duration WriteSpread = std::chrono::milliseconds(800);
   /// Bounds of the delay after a failed call.
-  static constexpr Duration MinPause = std::chrono::milliseconds(250);
-  static constexpr Duration MaxPause = std::chrono::seconds(4);
+  static constexpr Duration MinRetryDelay = std::chrono::milliseconds(250);
+  static constexpr Duration MaxRetryDelay = std::chrono::seconds(4);
 
   /// \p seed spreads the writes of entries.
   explicit QuarantineStore(std::uint64_t seed) : Random(seed) {}
@@ -63,10 +63,10 @@
   const std::vector<RequestDigest> &stored() const { return Stored; }
 
 private:
-  bool isBehind() const;
+  bool needsWrite() const;
   std::vector<RequestDigest> merged() const;
-  void take(const KvReply &reply);
-  void fail(TimePoint now);
+  void updateStored(const KvReply &reply);
+  void scheduleRetry(TimePoint now);
 
   std::mt19937_64 Random;
   std::vector<RequestDigest> Own;
@@ -74,14 +74,14 @@
   std::vector<RequestDigest> Stored;
   /// The value that the pending call writes; empty if the call reads.
   std::optional<std::vector<RequestDigest>> Writing;
-  Revision At;
+  Revision StoredRevision;
   bool HasRead = false;
   /// Whether Stored is current enough to base a write on.
   bool IsFresh = false;
   bool IsCalling = false;
   std::optional<TimePoint> DueAt = TimePoint();
   TimePoint WrittenAt;
-  Duration Pause = MinPause;
+  Duration RetryDelay = MinRetryDelay;
 };
 
 } // namespace ospreyspur
--- a/lib/Pushback/Pushback.cpp
+++ b/lib/Pushback/Pushback.cpp
@@ -21,7 +21,7 @@
 static constexpr std::size_t MaxQuotedBytes = 32;
 
 /// Parses a non-negative decimal number.
-static std::optional<double> readNumber(const std::string &text) {
+static std::optional<double> parseNumber(const std::string &text) {
   double out = 0;
   const char *end = text.data() + text.size();
   auto [at, ec] = std::from_chars(text.data(), end, out);
@@ -32,7 +32,7 @@
 }
 
 /// Parses an HTTP date into seconds since the epoch.
-static std::optional<std::time_t> readDate(const std::string &text) {
+static std::optional<std::time_t> parseDate(const std::string &text) {
   std::tm fields{};
   std::istringstream is(text);
   is >> std::get_time(&fields, "%a, %d %b %Y %H:%M:%S GMT");
@@ -41,19 +41,19 @@
   return ::timegm(&fields);
 }
 
-static std::optional<Duration> readRest(const std::string &text,
-                                        const std::string &date) {
-  std::optional<double> seconds = readNumber(text);
+static std::optional<Duration> parseBackoff(const std::string &text,
+                                            const std::string &date) {
+  std::optional<double> seconds = parseNumber(text);
   if (!seconds) {
-    std::optional<std::time_t> from = readDate(date);
-    std::optional<std::time_t> until = readDate(text);
+    std::optional<std::time_t> from = parseDate(date);
+    std::optional<std::time_t> until = parseDate(text);
     if (!from || !until)
       return std::nullopt;
     seconds = std::max(0.0, std::difftime(*until, *from));
   }
   using Seconds = std::chrono::duration<double>;
-  Seconds rest = std::min(Seconds(*seconds), Seconds(MaxRest));
-  return std::chrono::duration_cast<Duration>(rest);
+  Seconds backoff = std::min(Seconds(*seconds), Seconds(MaxRest));
+  return std::chrono::duration_cast<Duration>(backoff);
 }
 
 /// Whether a response with \p status refuses its request.
@@ -61,7 +61,8 @@
   return status == 429 || status == 503;
 }
 
-static void note(const std::vector<std::string> &values, Pushback &out) {
+static void noteMalformed(const std::vector<std::string> &values,
+                          Pushback &out) {
   if (out.Malformed.empty())
     out.Malformed = '"' + values.front().substr(0, MaxQuotedBytes) + '"';
 }
@@ -69,20 +70,20 @@
 Pushback ospreyspur::readPushback(const PushbackText &text) {
   Pushback out;
   if (text.Rates.size() == 1)
-    out.RequestsPerSecond = readNumber(text.Rates.front());
+    out.RequestsPerSecond = parseNumber(text.Rates.front());
   if (out.RequestsPerSecond)
     out.RequestsPerSecond =
         std::min(*out.RequestsPerSecond, MaxRequestsPerSecond);
   else if (!text.Rates.empty())
-    note(text.Rates, out);
+    noteMalformed(text.Rates, out);
   out.IsLeaving = text.Leavings == std::vector<std::string>{"1"};
   if (!out.IsLeaving && !text.Leavings.empty())
-    note(text.Leavings, out);
+    noteMalformed(text.Leavings, out);
   if (!isRefusal(text.Status) || text.RetryAfters.empty())
     return out;
   if (text.RetryAfters.size() == 1)
-    out.Rest = readRest(text.RetryAfters.front(), text.Date);
+    out.Rest = parseBackoff(text.RetryAfters.front(), text.Date);
   if (!out.Rest)
-    note(text.RetryAfters, out);
+    noteMalformed(text.RetryAfters, out);
   return out;
 }
--- a/lib/Pushback/RateLimits.cpp
+++ b/lib/Pushback/RateLimits.cpp
@@ -12,10 +12,11 @@
 using namespace ospreyspur;
 using Seconds = std::chrono::duration<double>;
 
-/// Returns the rendezvous hashing weight of \p entry for \p life. The finalizer
-/// of SplitMix64 gives the same weight in every process and build.
-static std::uint64_t weigh(std::uint64_t entry, LifeDigest life) {
-  std::uint64_t n = entry ^ (life.get() * 0x9e3779b97f4a7c15U);
+/// Returns the rendezvous hashing weight of \p entry for \p incarnation. The
+/// finalizer of SplitMix64 gives the same weight in every process and build.
+static std::uint64_t rendezvousWeight(std::uint64_t entry,
+                                      LifeDigest incarnation) {
+  std::uint64_t n = entry ^ (incarnation.get() * 0x9e3779b97f4a7c15U);
   n = (n ^ (n >> 30U)) * 0xbf58476d1ce4e5b9U;
   n = (n ^ (n >> 27U)) * 0x94d049bb133111ebU;
   return n ^ (n >> 31U);
@@ -30,137 +31,141 @@
   Members = std::move(members);
   std::erase_if(Limits, [now](const auto &it) {
     const Limit &limit = it.second;
-    return limit.PerSecond ? now - limit.HeardAt >= KeepFor
+    return limit.PerSecond ? now - limit.ReceivedAt >= KeepFor
                            : now - limit.ChangedAt >= KeepLiftFor;
   });
-  for (auto &[life, limit] : Limits)
-    share(life, limit, now);
+  for (auto &[incarnation, limit] : Limits)
+    updateShare(incarnation, limit, now);
 }
 
-void RateLimits::share(LifeDigest life, Limit &limit, TimePoint now) const {
+void RateLimits::updateShare(LifeDigest incarnation, Limit &limit,
+                             TimePoint now) const {
   if (!limit.PerSecond)
     return;
-  std::uint64_t own = weigh(Members.Self, life);
-  limit.Rank =
-      std::count_if(Members.Others.begin(), Members.Others.end(),
-                    [&](std::uint64_t it) { return weigh(it, life) > own; });
+  std::uint64_t own = rendezvousWeight(Members.Self, incarnation);
+  limit.Rank = std::count_if(Members.Others.begin(), Members.Others.end(),
+                             [&](std::uint64_t it) {
+                               return rendezvousWeight(it, incarnation) > own;
+                             });
   double rate = std::max(*limit.PerSecond, MinPerSecond);
-  double holders = std::floor(std::max(rate, 1.0));
-  limit.Holders = std::min(memberCount(), static_cast<std::size_t>(holders));
+  double owners = std::floor(std::max(rate, 1.0));
+  limit.Owners = std::min(memberCount(), static_cast<std::size_t>(owners));
   // Entries that are not known yet may rank before this one.
   if (!Members.IsComplete)
-    limit.Rank = std::max(limit.Rank, limit.Holders);
-  limit.Bucket.setRate(rate / double(limit.Holders), now);
+    limit.Rank = std::max(limit.Rank, limit.Owners);
+  limit.Bucket.setRate(rate / double(limit.Owners), now);
 }
 
-void RateLimits::onAnswer(LifeDigest life, std::optional<double> perSecond,
-                          TimePoint sentAt, TimePoint now) {
-  if (!perSecond && !Limits.contains(life))
+void RateLimits::onAnswer(LifeDigest incarnation,
+                          std::optional<double> perSecond, TimePoint sentAt,
+                          TimePoint now) {
+  if (!perSecond && !Limits.contains(incarnation))
     return;
-  if (!apply(life, {perSecond, sentAt, now}, false, now))
+  if (!apply(incarnation, {perSecond, sentAt, now}, false, now))
     return;
-  Limit &limit = Limits.at(life);
-  if (now - limit.ToldAt >= RetellAfter) {
-    limit.Tellings = std::max(limit.Tellings, 1U);
-    limit.ToldAt = now;
+  Limit &limit = Limits.at(incarnation);
+  if (now - limit.AnnouncedAt >= ReannounceAfter) {
+    limit.RemainingAnnouncements = std::max(limit.RemainingAnnouncements, 1U);
+    limit.AnnouncedAt = now;
   }
 }
 
-void RateLimits::mergeRow(const RateLimitRow &row, TimePoint now) {
-  Statement said{row.PerSecond, now - row.SentAge - ReportDelay,
-                 now - row.HeardAge};
-  if (!apply(row.Life, said, true, now))
+void RateLimits::mergeRecord(const RateLimitRow &row, TimePoint now) {
+  LimitUpdate update{row.PerSecond, now - row.SentAge - ReportDelay,
+                     now - row.HeardAge};
+  if (!apply(row.Life, update, true, now))
     return;
-  Limits.at(row.Life).ToldAt = now;
+  Limits.at(row.Life).AnnouncedAt = now;
 }
 
-/// Applies \p said unless the known limit is later, or is stricter and of
-/// unknown order. Returns whether \p said is in force now.
-bool RateLimits::apply(LifeDigest life, const Statement &said, bool isTold,
-                       TimePoint now) {
-  auto it = Limits.find(life);
+/// Applies \p update unless the known limit is later, or is stricter and of
+/// unknown order. Returns whether \p update is in force now.
+bool RateLimits::apply(LifeDigest incarnation, const LimitUpdate &update,
+                       bool isFromPeer, TimePoint now) {
+  auto it = Limits.find(incarnation);
   if (it == Limits.end() && Limits.size() >= MaxEndpoints)
     return false;
   if (it == Limits.end())
-    it = Limits.emplace(life, Limit(now)).first;
+    it = Limits.emplace(incarnation, Limit(now)).first;
   Limit &limit = it->second;
   std::optional<double> before = limit.PerSecond;
-  bool isLater = said.SentAt > limit.HeardAt;
-  bool isEarlier = limit.SentAt > said.HeardAt;
-  if (isEarlier || (!isLater && isStricter(before, said.PerSecond)))
+  bool isLater = update.SentAt > limit.ReceivedAt;
+  bool isEarlier = limit.SentAt > update.ReceivedAt;
+  if (isEarlier || (!isLater && isStricter(before, update.PerSecond)))
     return false;
-  limit.PerSecond = said.PerSecond;
-  limit.SentAt = std::max(limit.SentAt, said.SentAt);
-  limit.HeardAt = std::max(limit.HeardAt, said.HeardAt);
-  if (before == said.PerSecond)
+  limit.PerSecond = update.PerSecond;
+  limit.SentAt = std::max(limit.SentAt, update.SentAt);
+  limit.ReceivedAt = std::max(limit.ReceivedAt, update.ReceivedAt);
+  if (before == update.PerSecond)
     return true;
   limit.ChangedAt = now;
-  share(life, limit, now);
-  limit.Tellings = isTold ? 0 : ChangeTellings;
-  limit.ToldAt = now;
+  updateShare(incarnation, limit, now);
+  limit.RemainingAnnouncements = isFromPeer ? 0 : ChangeAnnouncements;
+  limit.AnnouncedAt = now;
   if (Notes.size() < MaxNotes)
-    Notes.push_back({life, before, said.PerSecond, now - said.HeardAt, isTold,
-                     limit.Rank, limit.Holders});
+    Notes.push_back({incarnation, before, update.PerSecond,
+                     now - update.ReceivedAt, isFromPeer, limit.Rank,
+                     limit.Owners});
   return true;
 }
 
 std::vector<RateLimitRow> RateLimits::takeReport(TimePoint now) {
   std::vector<RateLimitRow> out;
-  for (auto &[life, limit] : Limits) {
-    if (limit.Tellings == 0 || out.size() >= MaxRowsPerReport)
+  for (auto &[incarnation, limit] : Limits) {
+    if (limit.RemainingAnnouncements == 0 || out.size() >= MaxRecordsPerReport)
       continue;
-    --limit.Tellings;
-    out.push_back(
-        {life, limit.PerSecond, now - limit.SentAt, now - limit.HeardAt});
+    --limit.RemainingAnnouncements;
+    out.push_back({incarnation, limit.PerSecond, now - limit.SentAt,
+                   now - limit.ReceivedAt});
   }
   return out;
 }
 
 void RateLimits::tellAgain(TimePoint now) {
-  if (now - ToldAgainAt < TellAgainAfter)
+  if (now - NewEntryAnnouncedAt < NewEntryAnnounceInterval)
     return;
-  ToldAgainAt = now;
-  for (auto &[life, limit] : Limits)
-    if (limit.PerSecond && limit.Rank < Tellers)
-      limit.Tellings = std::max(limit.Tellings, 1U);
+  NewEntryAnnouncedAt = now;
+  for (auto &[incarnation, limit] : Limits)
+    if (limit.PerSecond && limit.Rank < NewEntryAnnouncers)
+      limit.RemainingAnnouncements = std::max(limit.RemainingAnnouncements, 1U);
 }
 
-const RateLimits::Limit *RateLimits::findActive(LifeDigest life) const {
-  auto it = Limits.find(life);
+const RateLimits::Limit *RateLimits::findActive(LifeDigest incarnation) const {
+  auto it = Limits.find(incarnation);
   bool isActive = it != Limits.end() && it->second.PerSecond;
   return isActive ? &it->second : nullptr;
 }
 
-bool RateLimits::isHolder(const Limit &limit, TimePoint now) {
-  Duration quiet = now - limit.HeardAt;
+bool RateLimits::isOwner(const Limit &limit, TimePoint now) {
+  Duration unconfirmed = now - limit.ReceivedAt;
   std::size_t extra = 0;
-  if (quiet >= QuietTime)
-    extra =
-        1 + static_cast<std::size_t>((quiet - QuietTime) / ExtraHolderPause);
-  return limit.Rank < limit.Holders + extra;
+  if (unconfirmed >= ExtraOwnerDelay)
+    extra = 1 + static_cast<std::size_t>((unconfirmed - ExtraOwnerDelay) /
+                                         ExtraOwnerInterval);
+  return limit.Rank < limit.Owners + extra;
 }
 
-bool RateLimits::isLimited(LifeDigest life) const {
-  return findActive(life) != nullptr;
+bool RateLimits::isLimited(LifeDigest incarnation) const {
+  return findActive(incarnation) != nullptr;
 }
 
-bool RateLimits::hasRoom(LifeDigest life, TimePoint now) const {
-  const Limit *limit = findActive(life);
-  return !limit || (isHolder(*limit, now) && limit->Bucket.hasToken(now));
+bool RateLimits::hasRoom(LifeDigest incarnation, TimePoint now) const {
+  const Limit *limit = findActive(incarnation);
+  return !limit || (isOwner(*limit, now) && limit->Bucket.hasToken(now));
 }
 
-bool RateLimits::take(LifeDigest life, TimePoint now) {
-  if (!hasRoom(life, now))
+bool RateLimits::take(LifeDigest incarnation, TimePoint now) {
+  if (!hasRoom(incarnation, now))
     return false;
-  if (isLimited(life))
-    Limits.at(life).Bucket.take(now);
+  if (isLimited(incarnation))
+    Limits.at(incarnation).Bucket.take(now);
   return true;
 }
 
-double RateLimits::roomUntil(LifeDigest life, TimePoint now,
+double RateLimits::roomUntil(LifeDigest incarnation, TimePoint now,
                              TimePoint until) const {
-  const Limit *limit = findActive(life);
-  if (!limit || !isHolder(*limit, now))
+  const Limit *limit = findActive(incarnation);
+  if (!limit || !isOwner(*limit, now))
     return 0;
   TimePoint next = limit->Bucket.nextToken(now);
   if (next > until)
@@ -169,8 +174,8 @@
          std::floor(Seconds(until - next).count() * limit->Bucket.perSecond());
 }
 
-double RateLimits::namedRate(LifeDigest life) const {
-  const Limit *limit = findActive(life);
+double RateLimits::namedRate(LifeDigest incarnation) const {
+  const Limit *limit = findActive(incarnation);
   return limit ? *limit->PerSecond : 0;
 }
 
@@ -178,17 +183,17 @@
                                                 TimePoint now) {
   if (!limit.PerSecond)
     return std::nullopt;
-  TimePoint holds = now;
-  if (!isHolder(limit, now))
-    holds = limit.HeardAt + QuietTime +
-            ExtraHolderPause * int(limit.Rank - limit.Holders);
-  TimePoint next = std::max(holds, limit.Bucket.nextToken(now));
+  TimePoint ownerFrom = now;
+  if (!isOwner(limit, now))
+    ownerFrom = limit.ReceivedAt + ExtraOwnerDelay +
+                ExtraOwnerInterval * int(limit.Rank - limit.Owners);
+  TimePoint next = std::max(ownerFrom, limit.Bucket.nextToken(now));
   return next > now ? std::optional(next) : std::nullopt;
 }
 
 std::optional<TimePoint> RateLimits::nextRoom(TimePoint now) const {
   std::optional<TimePoint> next;
-  for (const auto &[life, limit] : Limits) {
+  for (const auto &[incarnation, limit] : Limits) {
     std::optional<TimePoint> due = nextRoomOf(limit, now);
     if (due && (!next || *due < *next))
       next = due;
--- a/lib/Quarantine/CrashRelay.cpp
+++ b/lib/Quarantine/CrashRelay.cpp
@@ -16,10 +16,10 @@
   if (isNew)
     for (CrashReport &it : Crashes.allRows(now))
       out.push_back({from, {"", count, std::move(it)}});
-  bool hadRuns = Running.erase(from) > 0;
+  bool hadAttempts = EntriesWithSuspects.erase(from) > 0;
   if (!update.Report.Runs.empty())
-    Running.insert(from);
-  if (update.Report.isEmpty() && !hadRuns) {
+    EntriesWithSuspects.insert(from);
+  if (update.Report.isEmpty() && !hadAttempts) {
     // A heartbeat.
     out.push_back({from, {"", count, {}}});
     return out;
@@ -33,5 +33,5 @@
 
 void CrashRelay::onLinkDown(LinkId link) {
   Entries.erase(link);
-  Running.erase(link);
+  EntriesWithSuspects.erase(link);
 }
--- a/lib/Quarantine/CrashReporter.cpp
+++ b/lib/Quarantine/CrashReporter.cpp
@@ -18,23 +18,23 @@
 std::vector<EndpointId>
 ospreyspur::chooseRelays(const RoutingSnapshot &snapshot) {
   // The first of each data centre in the order of digests, then the others.
-  using Place = std::tuple<std::uint64_t, EndpointId>;
-  std::map<DataCentreId, std::set<Place>> byDataCentre;
+  using RankedEndpoint = std::tuple<std::uint64_t, EndpointId>;
+  std::map<DataCentreId, std::set<RankedEndpoint>> byDataCentre;
   for (const auto &[name, service] : snapshot.Services)
     for (const EndpointView &it : service.Endpoints)
       if (!it.IsLeaving)
         byDataCentre[it.DataCentre].insert({digest64(it.Id.get()), it.Id});
   std::set<std::tuple<std::size_t, std::uint64_t, EndpointId>> order;
-  for (const auto &[name, places] : byDataCentre) {
-    std::size_t turn = 0;
-    for (const auto &[digest, id] : places) {
-      if (turn == RelayCount)
+  for (const auto &[name, endpoints] : byDataCentre) {
+    std::size_t position = 0;
+    for (const auto &[digest, id] : endpoints) {
+      if (position == RelayCount)
         break;
-      order.insert({turn++, digest, id});
+      order.insert({position++, digest, id});
     }
   }
   std::vector<EndpointId> out;
-  for (const auto &[turn, digest, id] : order)
+  for (const auto &[position, digest, id] : order)
     if (out.size() < RelayCount)
       out.push_back(id);
   return out;
--- a/lib/Quarantine/CrashTracker.cpp
+++ b/lib/Quarantine/CrashTracker.cpp
@@ -15,29 +15,29 @@
 /// Added to the number of crashes seen around each crash. Crashes come in
 /// waves, and without this the first crashes of a wave would be rated as if
 /// endpoints hardly ever crashed.
-static constexpr double UnseenEnds = 2;
+static constexpr double AssumedCrashes = 2;
 
-void CrashTracker::onCrash(RequestDigest request, LifeDigest life, Duration ran,
-                           std::size_t endpoints, TimePoint now) {
+void CrashTracker::onCrash(RequestDigest request, LifeDigest incarnation,
+                           Duration ran, std::size_t endpoints, TimePoint now) {
   if (request == RequestDigest())
     return;
-  addLife(life, now);
+  addIncarnation(incarnation, now);
   auto known = Rows.find(request);
   bool isQuarantined = known != Rows.end() && known->second.QuarantinedAt;
   if (isQuarantined) {
     known->second.SeenAt = now;
-    Lives.at(life).IsExplained = true;
+    Incarnations.at(incarnation).IsExplained = true;
     return;
   }
-  if (Lives.at(life).IsExplained)
+  if (Incarnations.at(incarnation).IsExplained)
     return;
   Row &row = rowOf(request, now);
   row.SeenAt = now;
   row.Endpoints = std::max<std::size_t>(endpoints, 1);
-  if (!addCrash(row, {life, now, ran}))
+  if (!addCrash(row, {incarnation, now, ran}))
     return;
-  row.Tellings = Limits.Tellings;
-  row.JudgeAt = now + Limits.SettleTime;
+  row.RemainingAnnouncements = Limits.Tellings;
+  row.VerdictAt = now + Limits.SettleTime;
 }
 
 void CrashTracker::onWhole(RequestDigest request, TimePoint now) {
@@ -48,7 +48,7 @@
   if (row.Crashes.empty() && !row.QuarantinedAt)
     return;
   clear(row, now);
-  row.Tellings = Limits.Tellings;
+  row.RemainingAnnouncements = Limits.Tellings;
 }
 
 void CrashTracker::onSeen(RequestDigest request, TimePoint now) {
@@ -61,7 +61,7 @@
                                                const CrashReport &report,
                                                TimePoint now) {
   std::erase_if(Peers, [&](const auto &it) {
-    return now - it.second.At >= Limits.PeerRunAge;
+    return now - it.second.At >= Limits.PeerAttemptMaxAge;
   });
   if (!report.Runs.empty())
     Peers[peer] = {now, report.Runs};
@@ -69,13 +69,13 @@
     Peers.erase(peer);
   std::vector<RequestDigest> out;
   for (const CrashRow &it : report.Rows)
-    if (mergeRow(it, now))
+    if (mergeRecord(it, now))
       out.push_back(it.Request);
   return out;
 }
 
 /// Returns whether the request is quarantined by this record.
-bool CrashTracker::mergeRow(const CrashRow &in, TimePoint now) {
+bool CrashTracker::mergeRecord(const CrashRow &in, TimePoint now) {
   if (in.Request == RequestDigest() || in.SeenAge >= Limits.KeepRows)
     return false;
   Row &row = rowOf(in.Request, now);
@@ -85,20 +85,20 @@
       now - *in.ClearedAge > row.ClearedAt.value_or(TimePoint()))
     clear(row, now - *in.ClearedAge);
   for (const CrashTold &it : in.Crashes) {
-    addLife(it.Life, now - it.Age);
-    if (Lives.at(it.Life).IsExplained)
+    addIncarnation(it.Life, now - it.Age);
+    if (Incarnations.at(it.Life).IsExplained)
       continue;
-    if (addCrash(row, {it.Life, now - it.Age, it.Ran}) && !row.JudgeAt)
-      row.JudgeAt = now + Limits.SettleTime;
+    if (addCrash(row, {it.Life, now - it.Age, it.Ran}) && !row.VerdictAt)
+      row.VerdictAt = now + Limits.SettleTime;
   }
   if (row.QuarantinedAt)
     return false;
   TimePoint cleared = row.ClearedAt.value_or(TimePoint());
   if (in.QuarantinedAge && now - *in.QuarantinedAge > cleared) {
     row.QuarantinedAt = now - *in.QuarantinedAge;
-    row.JudgeAt.reset();
+    row.VerdictAt.reset();
     ++Changes;
-    explain(in.Request, row);
+    attributeCrashes(in.Request, row);
     return true;
   }
   if (row.Crashes.empty() && !row.ClearedAt)
@@ -124,26 +124,26 @@
                                              TimePoint now) {
   std::vector<CrashRow> out;
   for (auto &[request, row] : Rows) {
-    if (row.Tellings == 0 || out.size() >= Limits.MaxReportRows)
+    if (row.RemainingAnnouncements == 0 || out.size() >= Limits.MaxReportRows)
       continue;
-    --row.Tellings;
-    out.push_back(tell(request, row, now));
+    --row.RemainingAnnouncements;
+    out.push_back(makeRecord(request, row, now));
   }
   if (Rows.empty() || now < RefreshAt)
     return out;
   RefreshAt = now + Limits.RefreshEvery * std::max<std::size_t>(entries, 1);
-  forget(now);
+  expire(now);
   refresh(out, now);
   return out;
 }
 
 std::vector<CrashReport> CrashTracker::allRows(TimePoint now) {
-  forget(now);
+  expire(now);
   std::vector<CrashReport> out;
   for (const auto &[request, row] : Rows) {
     if (out.empty() || out.back().Rows.size() >= Limits.MaxReportRows)
       out.emplace_back();
-    out.back().Rows.push_back(tell(request, row, now));
+    out.back().Rows.push_back(makeRecord(request, row, now));
   }
   return out;
 }
@@ -152,24 +152,25 @@
 /// single crash and are not quarantined are left out: an entry that missed the
 /// first announcements would not act differently.
 void CrashTracker::refresh(std::vector<CrashRow> &out, TimePoint now) {
-  auto it = Rows.upper_bound(Refreshed);
-  std::size_t told = 0;
-  for (std::size_t i = 0; i < Rows.size() && told < Limits.RefreshRows; ++i) {
+  auto it = Rows.upper_bound(LastRefreshed);
+  std::size_t added = 0;
+  for (std::size_t i = 0; i < Rows.size() && added < Limits.RefreshRecords;
+       ++i) {
     if (it == Rows.end())
       it = Rows.begin();
     const Row &row = it->second;
     if ((row.QuarantinedAt || row.Crashes.size() > 1) &&
         out.size() < Limits.MaxReportRows) {
-      out.push_back(tell(it->first, row, now));
-      Refreshed = it->first;
-      ++told;
+      out.push_back(makeRecord(it->first, row, now));
+      LastRefreshed = it->first;
+      ++added;
     }
     ++it;
   }
 }
 
-CrashRow CrashTracker::tell(RequestDigest request, const Row &row,
-                            TimePoint now) const {
+CrashRow CrashTracker::makeRecord(RequestDigest request, const Row &row,
+                                  TimePoint now) const {
   CrashRow out;
   out.Request = request;
   out.Endpoints = row.Endpoints;
@@ -207,7 +208,7 @@
 bool CrashTracker::runsElsewhere(RequestDigest request, TimePoint now) const {
   return std::any_of(Peers.begin(), Peers.end(), [&](const auto &peer) {
     const std::vector<SuspectRun> &runs = peer.second.Runs;
-    return now - peer.second.At < Limits.PeerRunAge &&
+    return now - peer.second.At < Limits.PeerAttemptMaxAge &&
            std::any_of(runs.begin(), runs.end(), [&](const SuspectRun &it) {
              return it.Request == request;
            });
@@ -218,7 +219,7 @@
                                                  TimePoint now) const {
   std::set<LifeDigest> out;
   for (const auto &[name, peer] : Peers) {
-    if (now - peer.At >= Limits.PeerRunAge)
+    if (now - peer.At >= Limits.PeerAttemptMaxAge)
       continue;
     for (const SuspectRun &it : peer.Runs)
       if (it.Request != request)
@@ -227,9 +228,9 @@
   return out;
 }
 
-std::optional<TimePoint> CrashTracker::endOf(LifeDigest life) const {
-  auto it = Lives.find(life);
-  return it == Lives.end() ? std::nullopt : std::optional(it->second.At);
+std::optional<TimePoint> CrashTracker::endOf(LifeDigest incarnation) const {
+  auto it = Incarnations.find(incarnation);
+  return it == Incarnations.end() ? std::nullopt : std::optional(it->second.At);
 }
 
 std::vector<RequestDigest> CrashTracker::quarantined() const {
@@ -257,17 +258,17 @@
   auto it = Rows.find(request);
   if (it != Rows.end())
     return it->second;
-  makeRoom(now);
+  evictIfFull(now);
   return Rows[request];
 }
 
 /// Callers choose the request bodies, so any number of distinct requests may be
 /// running at a crash. Evicts the request with the least evidence against it,
 /// among equals the one that was received longest ago.
-void CrashTracker::makeRoom(TimePoint now) {
+void CrashTracker::evictIfFull(TimePoint now) {
   if (Rows.size() < Limits.MaxRows)
     return;
-  forget(now);
+  expire(now);
   if (Rows.size() < Limits.MaxRows)
     return;
   auto rank = [](const auto &it) {
@@ -286,101 +287,105 @@
   bool isKnown =
       std::any_of(row.Crashes.begin(), row.Crashes.end(),
                   [&](const Crash &it) { return it.Life == crash.Life; });
-  if (isOver || isKnown || row.Crashes.size() >= Limits.MostCrashes)
+  if (isOver || isKnown || row.Crashes.size() >= Limits.QuarantineCrashes)
     return false;
   row.Crashes.push_back(crash);
   return true;
 }
 
-void CrashTracker::addLife(LifeDigest life, TimePoint at) {
-  auto [it, isNew] = Lives.try_emplace(life, Life{at});
+void CrashTracker::addIncarnation(LifeDigest incarnation, TimePoint at) {
+  auto [it, isNew] =
+      Incarnations.try_emplace(incarnation, CrashedIncarnation{at});
   it->second.At = std::min(it->second.At, at);
-  if (!isNew || Lives.size() <= Limits.MaxLives)
+  if (!isNew || Incarnations.size() <= Limits.MaxIncarnations)
     return;
-  auto oldest = Lives.end();
-  for (auto other = Lives.begin(); other != Lives.end(); ++other) {
-    bool isOwn = other->first == life;
+  auto oldest = Incarnations.end();
+  for (auto other = Incarnations.begin(); other != Incarnations.end();
+       ++other) {
+    bool isOwn = other->first == incarnation;
     if (!isOwn &&
-        (oldest == Lives.end() || other->second.At < oldest->second.At))
+        (oldest == Incarnations.end() || other->second.At < oldest->second.At))
       oldest = other;
   }
-  Lives.erase(oldest);
+  Incarnations.erase(oldest);
 }
 
 std::vector<RequestDigest> CrashTracker::judge(TimePoint now) {
-  return judgeBefore(now, now);
+  return updateDueVerdicts(now, now);
 }
 
 std::vector<RequestDigest> CrashTracker::judgeAll(TimePoint now) {
-  return judgeBefore(std::nullopt, now);
+  return updateDueVerdicts(std::nullopt, now);
 }
 
 /// Decides on the requests whose verdict is due at \p due, or on all with a
 /// pending verdict if \p due is empty.
 std::vector<RequestDigest>
-CrashTracker::judgeBefore(std::optional<TimePoint> due, TimePoint now) {
+CrashTracker::updateDueVerdicts(std::optional<TimePoint> due, TimePoint now) {
   // Requests with the most crashes come first, as crashes that one of them
   // explains are no evidence against the others.
   std::vector<std::pair<std::size_t, RequestDigest>> open;
   for (auto &[request, row] : Rows) {
-    if (!row.JudgeAt || (due && *due < *row.JudgeAt))
+    if (!row.VerdictAt || (due && *due < *row.VerdictAt))
       continue;
-    row.JudgeAt.reset();
+    row.VerdictAt.reset();
     open.emplace_back(row.Crashes.size(), request);
   }
   std::sort(open.rbegin(), open.rend());
   std::vector<RequestDigest> out;
   for (const auto &[n, request] : open) {
     auto it = Rows.find(request);
-    if (it == Rows.end() || !isProven(request, it->second, now))
+    if (it == Rows.end() || !hasEnoughEvidence(request, it->second, now))
       continue;
     it->second.QuarantinedAt = now;
-    it->second.Tellings = Limits.Tellings;
+    it->second.RemainingAnnouncements = Limits.Tellings;
     ++Changes;
-    explain(request, it->second);
+    attributeCrashes(request, it->second);
     out.push_back(request);
   }
   return out;
 }
 
-bool CrashTracker::isProven(RequestDigest request, const Row &row,
-                            TimePoint now) const {
+bool CrashTracker::hasEnoughEvidence(RequestDigest request, const Row &row,
+                                     TimePoint now) const {
   std::size_t n = row.Crashes.size();
   if (row.QuarantinedAt || n < 2)
     return false;
-  return n >= Limits.MostCrashes ||
-         (!hasTwin(request, row) && chanceOf(row, now) <= Limits.Chance);
+  return n >= Limits.QuarantineCrashes ||
+         (!hasCoincidentRequest(request, row) &&
+          chanceOf(row, now) <= Limits.Chance);
 }
 
 bool CrashTracker::isSettling(RequestDigest request) const {
   auto it = Rows.find(request);
-  return it != Rows.end() && it->second.JudgeAt;
+  return it != Rows.end() && it->second.VerdictAt;
 }
 
 std::optional<TimePoint> CrashTracker::nextJudgement() const {
   std::optional<TimePoint> next;
   for (const auto &[request, row] : Rows)
-    if (row.JudgeAt && (!next || *row.JudgeAt < *next))
-      next = row.JudgeAt;
+    if (row.VerdictAt && (!next || *row.VerdictAt < *next))
+      next = row.VerdictAt;
   return next;
 }
 
 /// Marks the crashes of \p row as caused by \p request and removes them from
 /// all other requests that are not quarantined.
-void CrashTracker::explain(RequestDigest request, const Row &row) {
-  std::vector<LifeDigest> ended;
+void CrashTracker::attributeCrashes(RequestDigest request, const Row &row) {
+  std::vector<LifeDigest> crashed;
   for (const Crash &it : row.Crashes) {
-    ended.push_back(it.Life);
-    if (auto life = Lives.find(it.Life); life != Lives.end())
-      life->second.IsExplained = true;
+    crashed.push_back(it.Life);
+    if (auto incarnation = Incarnations.find(it.Life);
+        incarnation != Incarnations.end())
+      incarnation->second.IsExplained = true;
   }
   for (auto it = Rows.begin(); it != Rows.end();) {
     Row &other = it->second;
     bool isOther = it->first != request && !other.QuarantinedAt;
     auto n =
         !isOther ? 0 : std::erase_if(other.Crashes, [&](const Crash &crash) {
-          return std::find(ended.begin(), ended.end(), crash.Life) !=
-                 ended.end();
+          return std::find(crashed.begin(), crashed.end(), crash.Life) !=
+                 crashed.end();
         });
     bool isDone = n > 0 && other.Crashes.empty() && !other.ClearedAt;
     it = isDone ? Rows.erase(it) : std::next(it);
@@ -389,10 +394,11 @@
 
 /// Whether another request was running at all crashes of \p row. Only a
 /// crash while one of the two runs alone shows which one causes crashes.
-bool CrashTracker::hasTwin(RequestDigest request, const Row &row) const {
-  auto wasAt = [](const Row &other, LifeDigest life) {
+bool CrashTracker::hasCoincidentRequest(RequestDigest request,
+                                        const Row &row) const {
+  auto wasAt = [](const Row &other, LifeDigest incarnation) {
     return std::any_of(other.Crashes.begin(), other.Crashes.end(),
-                       [&](const Crash &it) { return it.Life == life; });
+                       [&](const Crash &it) { return it.Life == incarnation; });
   };
   return std::any_of(Rows.begin(), Rows.end(), [&](const auto &it) {
     return it.first != request && !it.second.QuarantinedAt &&
@@ -410,10 +416,10 @@
   using Seconds = std::chrono::duration<double>;
   double chance = 1;
   for (const Crash &crash : row.Crashes) {
-    TimePoint from = crash.At - Limits.RateSpan;
-    TimePoint until = std::min(crash.At + Limits.RateSpan, now);
-    auto others =
-        std::count_if(Lives.begin(), Lives.end(), [&](const auto &it) {
+    TimePoint from = crash.At - Limits.RateWindow;
+    TimePoint until = std::min(crash.At + Limits.RateWindow, now);
+    auto others = std::count_if(
+        Incarnations.begin(), Incarnations.end(), [&](const auto &it) {
           bool isOwn = std::any_of(
               row.Crashes.begin(), row.Crashes.end(),
               [&](const Crash &own) { return own.Life == it.first; });
@@ -422,8 +428,8 @@
         });
     double span = Seconds(until - from).count();
     double rate =
-        (double(others) + UnseenEnds) / (double(row.Endpoints) * span);
-    double ran = Seconds(std::max(crash.Ran, Limits.ShortestRun)).count();
+        (double(others) + AssumedCrashes) / (double(row.Endpoints) * span);
+    double ran = Seconds(std::max(crash.Ran, Limits.MinAttemptTime)).count();
     chance *= std::min(1.0, rate * ran);
   }
   return chance;
@@ -431,7 +437,7 @@
 
 void CrashTracker::clear(Row &row, TimePoint at) {
   row.ClearedAt = at;
-  row.JudgeAt.reset();
+  row.VerdictAt.reset();
   std::erase_if(row.Crashes, [at](const Crash &it) { return it.At <= at; });
   if (!row.QuarantinedAt || *row.QuarantinedAt > at)
     return;
@@ -439,7 +445,7 @@
   ++Changes;
 }
 
-void CrashTracker::forget(TimePoint now) {
+void CrashTracker::expire(TimePoint now) {
   std::erase_if(Rows, [&](const auto &it) {
     const Row &row = it.second;
     bool isOnlyCleared = row.Crashes.empty() && !row.QuarantinedAt;
@@ -449,7 +455,7 @@
     Changes += isOver && row.QuarantinedAt ? 1 : 0;
     return isOver;
   });
-  std::erase_if(Lives, [&](const auto &it) {
+  std::erase_if(Incarnations, [&](const auto &it) {
     return now - it.second.At >= Limits.KeepRows;
   });
 }
--- a/lib/Quarantine/QuarantineStore.cpp
+++ b/lib/Quarantine/QuarantineStore.cpp
@@ -45,7 +45,7 @@
   Cleared.clear();
   for (RequestDigest it : cleared)
     Cleared.insert(it);
-  if (!HasRead || IsCalling || !isBehind())
+  if (!HasRead || IsCalling || !needsWrite())
     return;
   std::uniform_int_distribution<Duration::rep> spread(0, WriteSpread.count());
   TimePoint next = now + Duration(spread(Random));
@@ -55,7 +55,7 @@
   IsFresh = false;
 }
 
-bool QuarantineStore::isBehind() const {
+bool QuarantineStore::needsWrite() const {
   bool isMissing = std::any_of(Own.begin(), Own.end(), [&](RequestDigest it) {
     return !contains(Stored, it);
   });
@@ -80,7 +80,7 @@
   if (!IsFresh)
     return KvGet{QuarantineKey, false};
   Writing = merged();
-  return KvPut{QuarantineKey, format(*Writing), At, LeaseSpan};
+  return KvPut{QuarantineKey, format(*Writing), StoredRevision, LeaseSpan};
 }
 
 std::vector<RequestDigest> QuarantineStore::onReply(const KvReply &reply,
@@ -90,11 +90,11 @@
       std::exchange(Writing, std::nullopt);
   if (written && reply.Code == ResultCode::Ok) {
     Stored = std::move(*written);
-    At = reply.At;
+    StoredRevision = reply.At;
     WrittenAt = now;
-    Pause = MinPause;
-    if (isBehind()) {
-      DueAt = now + MinPause;
+    RetryDelay = MinRetryDelay;
+    if (needsWrite()) {
+      DueAt = now + MinRetryDelay;
     } else if (!Own.empty()) {
       DueAt = now + RewriteAfter;
       IsFresh = false;
@@ -103,33 +103,34 @@
   }
   bool isRead = !written && (reply.Code == ResultCode::Ok ||
                              reply.Code == ResultCode::NotFound);
-  bool isOverTaken = written && reply.Code == ResultCode::PlatformConflict;
-  if (!isRead && !isOverTaken) {
-    fail(now);
+  bool hasConflict = written && reply.Code == ResultCode::PlatformConflict;
+  if (!isRead && !hasConflict) {
+    scheduleRetry(now);
     return {};
   }
   // The entry that wrote the value last renews the lease.
-  bool isOwn = isRead && reply.Code == ResultCode::Ok && reply.At == At &&
-               now - WrittenAt >= RewriteAfter;
-  take(reply);
+  bool isLastWriter = isRead && reply.Code == ResultCode::Ok &&
+                      reply.At == StoredRevision &&
+                      now - WrittenAt >= RewriteAfter;
+  updateStored(reply);
   bool isFirst = !std::exchange(HasRead, true);
   IsFresh = true;
-  Pause = MinPause;
-  if (isBehind() || (isOwn && !Own.empty()))
+  RetryDelay = MinRetryDelay;
+  if (needsWrite() || (isLastWriter && !Own.empty()))
     DueAt = now;
   return isFirst ? Stored : std::vector<RequestDigest>();
 }
 
-void QuarantineStore::take(const KvReply &reply) {
+void QuarantineStore::updateStored(const KvReply &reply) {
   bool isAbsent = reply.Code == ResultCode::NotFound;
-  At = isAbsent ? Revision(0) : reply.At;
+  StoredRevision = isAbsent ? Revision(0) : reply.At;
   Stored = isAbsent ? std::vector<RequestDigest>() : parse(reply.Value);
 }
 
-void QuarantineStore::fail(TimePoint now) {
+void QuarantineStore::scheduleRetry(TimePoint now) {
   IsFresh = false;
-  DueAt = now + Pause;
-  Pause = std::min(Pause * 2, MaxPause);
+  DueAt = now + RetryDelay;
+  RetryDelay = std::min(RetryDelay * 2, MaxRetryDelay);
 }
 
 std::optional<TimePoint> QuarantineStore::nextTimer() const {
--- a/unittests/Pushback/RateLimitFleetTest.cpp
+++ b/unittests/Pushback/RateLimitFleetTest.cpp
@@ -6,13 +6,13 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "NeedyFleet.h"
+#include "RateLimitedFleet.h"
 
 #include <doctest/doctest.h>
 
 using namespace ospreyspur;
 using ospreyspur::test::FleetShape;
-using ospreyspur::test::NeedyFleet;
+using ospreyspur::test::RateLimitedFleet;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -25,13 +25,13 @@
 /// The most requests in a window with one additional rate limit owner: entries'
 /// membership views differ for a while when an entry exits or is partitioned
 /// from the others.
-static std::size_t allowed(double perSecond) {
+static std::size_t maxWithExtraOwner(double perSecond) {
   return std::size_t(1.5 * perSecond * 4) + 5;
 }
 
 /// The most requests in a window: the rate limit and one request of each rate
 /// limit owner.
-static std::size_t planned(double perSecond) {
+static std::size_t maxWithUsualOwners(double perSecond) {
   return std::size_t(perSecond * 4 + std::max(1.0, perSecond)) + 1;
 }
 
@@ -42,12 +42,13 @@
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
       CAPTURE(rate);
       CAPTURE(seed);
-      NeedyFleet fleet(seed);
+      RateLimitedFleet fleet(seed);
       fleet.run(seconds(3));
-      fleet.name(0, rate);
+      fleet.advertise(0, rate);
       TimePoint from = fleet.now() + SettleTime;
       fleet.run(seconds(20));
-      CHECK(fleet.mostWithin(0, Window, from, true) <= planned(rate));
+      CHECK(fleet.mostWithin(0, Window, from, true) <=
+            maxWithUsualOwners(rate));
       // The endpoint still gets at least half of its limit.
       CHECK(fleet.mostWithin(0, seconds(18), from, true) >=
             std::size_t(rate * 18 / 2));
@@ -59,20 +60,20 @@
 TEST_CASE("entries follow a rate limit that is lowered, raised and lifted") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    NeedyFleet fleet(seed);
+    RateLimitedFleet fleet(seed);
     fleet.run(seconds(3));
-    fleet.name(0, 6);
+    fleet.advertise(0, 6);
     fleet.run(seconds(6));
-    fleet.name(0, 1);
+    fleet.advertise(0, 1);
     TimePoint fell = fleet.now() + milliseconds(1500);
     fleet.run(seconds(8));
-    CHECK(fleet.mostWithin(0, Window, fell, true) <= planned(1));
-    fleet.name(0, 4);
+    CHECK(fleet.mostWithin(0, Window, fell, true) <= maxWithUsualOwners(1));
+    fleet.advertise(0, 4);
     TimePoint rose = fleet.now();
     fleet.run(seconds(8));
-    CHECK(fleet.mostWithin(0, Window, rose, true) <= planned(4));
+    CHECK(fleet.mostWithin(0, Window, rose, true) <= maxWithUsualOwners(4));
     CHECK(fleet.mostWithin(0, Window, rose, true) >= 8);
-    fleet.name(0, std::nullopt);
+    fleet.advertise(0, std::nullopt);
     fleet.run(seconds(3));
     TimePoint lifted = fleet.now();
     fleet.run(seconds(3));
@@ -87,10 +88,10 @@
           "partitioned during an outage of the key-value store") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    NeedyFleet fleet(seed);
+    RateLimitedFleet fleet(seed);
     fleet.run(seconds(3));
-    fleet.name(0, 1);
-    fleet.name(1, 3);
+    fleet.advertise(0, 1);
+    fleet.advertise(1, 3);
     TimePoint from = fleet.now() + seconds(1);
     fleet.run(seconds(3));
     fleet.setStoreOut(seconds(12));
@@ -106,8 +107,8 @@
     for (unsigned i = 0; i < 20; i += 2)
       fleet.kill(i);
     fleet.run(seconds(14));
-    CHECK(fleet.mostWithin(0, Window, from) <= allowed(1));
-    CHECK(fleet.mostWithin(1, Window, from) <= allowed(3));
+    CHECK(fleet.mostWithin(0, Window, from) <= maxWithExtraOwner(1));
+    CHECK(fleet.mostWithin(1, Window, from) <= maxWithExtraOwner(3));
     CHECK(fleet.arrivals(0).size() >= 15);
   }
 }
@@ -116,29 +117,29 @@
           "limited endpoint at once") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    NeedyFleet fleet(seed);
+    RateLimitedFleet fleet(seed);
     fleet.run(seconds(3));
-    fleet.name(0, 1);
+    fleet.advertise(0, 1);
     fleet.run(seconds(2));
     TimePoint from = fleet.now();
     for (unsigned i = 0; i < 20; ++i)
       fleet.cut(i, seconds(60));
     fleet.run(seconds(60));
-    CHECK(fleet.mostWithin(0, Window, from, true) <= allowed(1));
+    CHECK(fleet.mostWithin(0, Window, from, true) <= maxWithExtraOwner(1));
   }
 }
 
 TEST_CASE("an endpoint whose holder has no requests is tried by another") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    NeedyFleet fleet(seed);
+    RateLimitedFleet fleet(seed);
     fleet.run(seconds(3));
-    fleet.name(0, 1);
+    fleet.advertise(0, 1);
     fleet.run(seconds(2));
     // Two entries get all requests; with some seeds neither of them is an owner
     // of the limit.
     fleet.useEntries(2);
-    fleet.name(0, std::nullopt);
+    fleet.advertise(0, std::nullopt);
     fleet.run(seconds(60));
     TimePoint from = fleet.now();
     fleet.run(seconds(3));
@@ -152,10 +153,10 @@
     CAPTURE(seed);
     FleetShape shape;
     shape.Entries = 5;
-    NeedyFleet fleet(seed, shape);
+    RateLimitedFleet fleet(seed, shape);
     fleet.run(seconds(3));
     for (unsigned i = 0; i < shape.Endpoints; ++i)
-      fleet.name(i, 5);
+      fleet.advertise(i, 5);
     fleet.run(seconds(2));
     test::FleetOutcomes before = fleet.outcomes();
     fleet.run(seconds(10));
@@ -185,11 +186,11 @@
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     FleetShape shape;
-    NeedyFleet fleet(seed, shape);
+    RateLimitedFleet fleet(seed, shape);
     fleet.useEntries(1);
     fleet.run(seconds(5));
     for (unsigned i = 0; i < shape.Endpoints; ++i)
-      fleet.name(i, 5);
+      fleet.advertise(i, 5);
     fleet.run(seconds(2));
     TimePoint from = fleet.now();
     unsigned before = fleet.outcomes().Served;
@@ -197,7 +198,7 @@
     // All limits together allow thirty requests per second.
     CHECK(fleet.outcomes().Served - before >= 240);
     for (unsigned i = 0; i < shape.Endpoints; ++i)
-      CHECK(fleet.mostWithin(i, Window, from, true) <= planned(5));
+      CHECK(fleet.mostWithin(i, Window, from, true) <= maxWithUsualOwners(5));
   }
 }
 
@@ -206,14 +207,14 @@
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     FleetShape shape;
-    NeedyFleet fleet(seed, shape);
+    RateLimitedFleet fleet(seed, shape);
     fleet.useEntries(1);
     fleet.run(seconds(5));
     for (unsigned i = 0; i < shape.Endpoints; ++i)
-      fleet.name(i, 1);
+      fleet.advertise(i, 1);
     fleet.run(seconds(3));
     for (unsigned i = 0; i < shape.Endpoints; ++i)
-      fleet.name(i, std::nullopt);
+      fleet.advertise(i, std::nullopt);
     fleet.run(seconds(3));
     unsigned before = fleet.outcomes().Served;
     fleet.run(seconds(1));
@@ -226,17 +227,17 @@
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     FleetShape shape;
-    NeedyFleet fleet(seed, shape);
+    RateLimitedFleet fleet(seed, shape);
     fleet.useEntries(2);
     fleet.run(seconds(3));
-    fleet.name(0, Rate);
+    fleet.advertise(0, Rate);
     TimePoint from = fleet.now() + SettleTime;
     for (unsigned i = 0; i < 12; ++i) {
-      bool isCrowd = i % 3 == 2;
-      fleet.useEntries(isCrowd ? shape.Entries : 1 + i % 3, i * 7);
+      bool usesAllEntries = i % 3 == 2;
+      fleet.useEntries(usesAllEntries ? shape.Entries : 1 + i % 3, i * 7);
       fleet.run(milliseconds(i % 2 == 0 ? 4500 : 1200));
     }
-    CHECK(fleet.mostWithin(0, Window, from, true) <= allowed(Rate));
+    CHECK(fleet.mostWithin(0, Window, from, true) <= maxWithExtraOwner(Rate));
   }
 }
 
@@ -245,16 +246,16 @@
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     FleetShape shape;
-    NeedyFleet fleet(seed, shape);
+    RateLimitedFleet fleet(seed, shape);
     fleet.useEntries(1);
     fleet.run(seconds(3));
-    fleet.name(0, 1);
+    fleet.advertise(0, 1);
     fleet.run(seconds(5));
     TimePoint from = fleet.now();
     for (unsigned i = 0; i < shape.Entries; ++i)
       fleet.cut(i, seconds(30));
     fleet.useEntries(shape.Entries);
     fleet.run(seconds(30));
-    CHECK(fleet.mostWithin(0, Window, from, true) <= allowed(1));
+    CHECK(fleet.mostWithin(0, Window, from, true) <= maxWithExtraOwner(1));
   }
 }
--- a/unittests/Pushback/NeedyFleet.cpp
+++ b/unittests/Pushback/RateLimitedFleet.cpp
@@ -1,10 +1,10 @@
-//===- NeedyFleet.cpp - entries and endpoints with rate limits ------------===//
+//===- RateLimitedFleet.cpp - fleet with rate-limited endpoints -----------===//
 //
-// See NeedyFleet.h.
+// See RateLimitedFleet.h.
 //
 //===----------------------------------------------------------------------===//
 
-#include "NeedyFleet.h"
+#include "RateLimitedFleet.h"
 
 #include <algorithm>
 #include <utility>
@@ -18,11 +18,11 @@
 static constexpr Duration RestartTime = milliseconds(300);
 /// A request counts in mostWithin() if its entry had received the endpoint's
 /// rate limit at least this long before.
-static constexpr Duration HeardBefore = milliseconds(500);
+static constexpr Duration LimitKnownTime = milliseconds(500);
 
-NeedyFleet::NeedyFleet(std::uint64_t seed, FleetShape shape)
-    : Time(seed, 1), Shape(shape), Hosts(shape.Endpoints), Nodes(shape.Entries),
-      Used(shape.Entries) {
+RateLimitedFleet::RateLimitedFleet(std::uint64_t seed, FleetShape shape)
+    : Time(seed, 1), Shape(shape), FakeEndpoints(shape.Endpoints),
+      Nodes(shape.Entries), UsedEntries(shape.Entries) {
   auto config = std::make_shared<FleetConfig>();
   RouteRule route;
   route.Kind = RequestKind::Repeatable;
@@ -35,7 +35,7 @@
                            ServiceRule{ServiceId("s"), 100, std::nullopt});
   Config = std::move(config);
   for (unsigned i = 0; i < shape.Endpoints; ++i) {
-    EndpointRecord &it = Hosts[i].Record;
+    EndpointRecord &it = FakeEndpoints[i].Record;
     it.Id = EndpointId("e" + std::to_string(i));
     it.Service = ServiceId("s");
     it.DataCentre = DataCentreId("a");
@@ -44,23 +44,23 @@
   }
   for (unsigned i = 0; i < shape.Entries; ++i)
     start(i);
-  arrive();
+  generateRequest();
 }
 
-void NeedyFleet::start(unsigned i) {
+void RateLimitedFleet::start(unsigned i) {
   Entry &entry = Nodes[i];
   entry.Node = std::make_unique<DirectNode>(DataCentreId("a"), DirectLimits(),
                                             Time.below(1U << 30U),
                                             "n" + std::to_string(i));
-  entry.HeardAt.clear();
+  entry.LimitReceivedAt.clear();
   entry.Node->beginLife(Time.now());
   entry.Node->setEndpoints(Listed);
   if (Time.now() >= StoreOutUntil)
-    list(i);
-  report(i, entry.Life);
+    listOthers(i);
+  report(i, entry.IncarnationNumber);
 }
 
-void NeedyFleet::list(unsigned i) {
+void RateLimitedFleet::listOthers(unsigned i) {
   std::set<std::string> others;
   for (unsigned k = 0; k < Nodes.size(); ++k)
     if (k != i)
@@ -68,8 +68,8 @@
   Nodes[i].Node->setListedEntries(std::move(others), Time.now());
 }
 
-void NeedyFleet::kill(unsigned entry) {
-  ++Nodes[entry].Life;
+void RateLimitedFleet::kill(unsigned entry) {
+  ++Nodes[entry].IncarnationNumber;
   Nodes[entry].Node.reset();
   Time.at(Time.now() + RestartTime, [this, entry] {
     if (!Nodes[entry].Node)
@@ -77,25 +77,27 @@
   });
 }
 
-void NeedyFleet::setStoreOut(Duration span) {
+void RateLimitedFleet::setStoreOut(Duration span) {
   StoreOutUntil = Time.now() + span;
   Time.at(StoreOutUntil, [this] {
     for (unsigned i = 0; i < Nodes.size(); ++i)
       if (Nodes[i].Node)
-        list(i);
+        listOthers(i);
   });
 }
 
-bool NeedyFleet::isAwake(unsigned i, unsigned life) const {
+bool RateLimitedFleet::isAwake(unsigned i, unsigned incarnation) const {
   const Entry &it = Nodes[i];
-  return it.Node && it.Life == life && Time.now() >= it.FrozenUntil;
+  return it.Node && it.IncarnationNumber == incarnation &&
+         Time.now() >= it.FrozenUntil;
 }
 
-void NeedyFleet::report(unsigned i, unsigned life) {
-  if (Nodes[i].Life != life || !Nodes[i].Node)
+void RateLimitedFleet::report(unsigned i, unsigned incarnation) {
+  if (Nodes[i].IncarnationNumber != incarnation || !Nodes[i].Node)
     return;
-  Time.at(Time.now() + ReportEvery, [this, i, life] { report(i, life); });
-  if (!isAwake(i, life))
+  Time.at(Time.now() + ReportEvery,
+          [this, i, incarnation] { report(i, incarnation); });
+  if (!isAwake(i, incarnation))
     return;
   DirectNode &node = *Nodes[i].Node;
   LoadReport out{"n" + std::to_string(i),
@@ -111,22 +113,22 @@
         Time.now() < Nodes[k].CutUntil)
       continue;
     Time.unreliably(2, [this, k, bytes = encodeLoad(out)] {
-      if (!isAwake(k, Nodes[k].Life))
+      if (!isAwake(k, Nodes[k].IncarnationNumber))
         return;
-      LoadReport told = *decodeLoad(bytes);
+      LoadReport peerReport = *decodeLoad(bytes);
       DirectNode &to = *Nodes[k].Node;
-      to.setPeerLoad(told.Node, told.Loads, Time.now());
-      if (told.IsIdle)
-        to.onIdlePeer(told.Node, Time.now());
-      if (told.IsNew)
+      to.setPeerLoad(peerReport.Node, peerReport.Loads, Time.now());
+      if (peerReport.IsIdle)
+        to.onIdlePeer(peerReport.Node, Time.now());
+      if (peerReport.IsNew)
         to.onPeerBegun(Time.now());
-      take(k, to.onRateLimits(told.Rates, Time.now()));
-      take(k, to.onLeaving(told.Leaving, Time.now()));
+      perform(k, to.onRateLimits(peerReport.Rates, Time.now()));
+      perform(k, to.onLeaving(peerReport.Leaving, Time.now()));
     });
   }
 }
 
-void NeedyFleet::wake(unsigned i, unsigned life) {
+void RateLimitedFleet::scheduleTimer(unsigned i, unsigned incarnation) {
   std::optional<TimePoint> due = Nodes[i].Node->nextTimer();
   if (!due)
     return;
@@ -135,18 +137,18 @@
   if (wakeAt && *wakeAt > Time.now() && *wakeAt <= at)
     return;
   wakeAt = at;
-  Time.at(at, [this, i, life, at] {
-    if (Nodes[i].WakeAt == at && isAwake(i, life))
-      take(i, Nodes[i].Node->onTimer(Time.now()));
+  Time.at(at, [this, i, incarnation, at] {
+    if (Nodes[i].WakeAt == at && isAwake(i, incarnation))
+      perform(i, Nodes[i].Node->onTimer(Time.now()));
   });
 }
 
-void NeedyFleet::arrive() {
+void RateLimitedFleet::generateRequest() {
   Duration pause = Duration(seconds(1)) / Shape.RequestsPerSecond;
   Time.at(Time.now() + Duration(Time.below(2 * pause.count())),
-          [this] { arrive(); });
-  auto i = unsigned((FirstUsed + Time.below(Used)) % Nodes.size());
-  if (!isAwake(i, Nodes[i].Life))
+          [this] { generateRequest(); });
+  auto i = unsigned((FirstUsedEntry + Time.below(UsedEntries)) % Nodes.size());
+  if (!isAwake(i, Nodes[i].IncarnationNumber))
     return;
   DirectRequest request;
   request.Id = CallId(++LastCall);
@@ -154,88 +156,92 @@
   request.Route = &Config->Routes.front();
   request.TimeLeft = seconds(8);
   ArrivedAt[request.Id] = Time.now();
-  take(i, Nodes[i].Node->onCall(std::move(request), Time.now()));
+  perform(i, Nodes[i].Node->onCall(std::move(request), Time.now()));
 }
 
-void NeedyFleet::take(unsigned i, const DirectActions &actions) {
+void RateLimitedFleet::perform(unsigned i, const DirectActions &actions) {
   for (const DirectAction &action : actions) {
     if (const auto *order = std::get_if<StartAttempt>(&action))
-      send(i, Nodes[i].Life, *order);
+      send(i, Nodes[i].IncarnationNumber, *order);
     if (const auto *end = std::get_if<EndCall>(&action))
-      note(*end);
+      recordRefusal(*end);
   }
   if (!actions.empty() || Nodes[i].Node->waitingCount() > 0)
-    wake(i, Nodes[i].Life);
+    scheduleTimer(i, Nodes[i].IncarnationNumber);
 }
 
-void NeedyFleet::note(const EndCall &end) {
-  ++Told.Refused[end.Code];
-  Told.RetryAfters.push_back(end.RetryAfter);
-  Told.LongestRefusal =
-      std::max(Told.LongestRefusal, Time.now() - ArrivedAt.at(end.Call));
+void RateLimitedFleet::recordRefusal(const EndCall &end) {
+  ++Outcomes.Refused[end.Code];
+  Outcomes.RetryAfters.push_back(end.RetryAfter);
+  Outcomes.LongestRefusal =
+      std::max(Outcomes.LongestRefusal, Time.now() - ArrivedAt.at(end.Call));
 }
 
 /// Sends the request once the connection is open, if the node still allows the
 /// request by then.
-void NeedyFleet::send(unsigned i, unsigned life, const StartAttempt &order) {
+void RateLimitedFleet::send(unsigned i, unsigned incarnation,
+                            const StartAttempt &order) {
   auto endpoint = unsigned(std::stoul(order.Endpoint.Id.get().substr(1)));
   Duration connecting = Time.chance(10) ? Duration(Time.below(300000))
                                         : Duration(Time.below(2000));
-  Time.at(Time.now() + connecting, [this, i, life, endpoint, id = order.Call] {
-    if (!isAwake(i, life))
-      return;
-    if (!Nodes[i].Node->maySend(id, Time.now())) {
-      take(i,
-           Nodes[i].Node->onAttemptEnded(id, AttemptEnd::Withheld, Time.now()));
-      return;
-    }
-    reach({id, i, life, endpoint, Time.now(), std::nullopt});
-  });
+  Time.at(Time.now() + connecting,
+          [this, i, incarnation, endpoint, id = order.Call] {
+            if (!isAwake(i, incarnation))
+              return;
+            if (!Nodes[i].Node->maySend(id, Time.now())) {
+              perform(i, Nodes[i].Node->onAttemptEnded(id, AttemptEnd::Withheld,
+                                                       Time.now()));
+              return;
+            }
+            deliver({id, i, incarnation, endpoint, Time.now(), std::nullopt});
+          });
 }
 
-void NeedyFleet::reach(Pending it) {
+void RateLimitedFleet::deliver(Pending it) {
   Time.at(Time.now() + Duration(Time.below(2000)), [this, it]() mutable {
-    Host &host = Hosts[it.Endpoint];
-    std::map<unsigned, TimePoint> &heard = Nodes[it.Entry].HeardAt;
-    auto at = heard.find(it.Endpoint);
-    host.Arrivals.push_back(
+    FakeEndpoint &target = FakeEndpoints[it.Endpoint];
+    std::map<unsigned, TimePoint> &received = Nodes[it.Entry].LimitReceivedAt;
+    auto at = received.find(it.Endpoint);
+    target.Arrivals.push_back(
         {Time.now(), it.Entry,
-         at == heard.end() ? std::nullopt : std::optional(at->second)});
+         at == received.end() ? std::nullopt : std::optional(at->second)});
     // Some response heads arrive long after heads that were written later.
-    it.Named = host.Rate;
+    it.Advertised = target.Rate;
     Duration work = Time.chance(5) ? Duration(Time.below(900000))
                                    : Duration(Time.below(40000));
     Time.at(Time.now() + work, [this, it] { answer(it); });
   });
 }
 
-void NeedyFleet::answer(const Pending &it) {
-  if (Nodes[it.Entry].Life != it.Life || !Nodes[it.Entry].Node)
+void RateLimitedFleet::answer(const Pending &it) {
+  if (Nodes[it.Entry].IncarnationNumber != it.IncarnationNumber ||
+      !Nodes[it.Entry].Node)
     return;
-  if (!isAwake(it.Entry, it.Life)) {
+  if (!isAwake(it.Entry, it.IncarnationNumber)) {
     Time.at(Nodes[it.Entry].FrozenUntil, [this, it] { answer(it); });
     return;
   }
   Entry &entry = Nodes[it.Entry];
-  if (it.Named)
-    entry.HeardAt.try_emplace(it.Endpoint, Time.now());
+  if (it.Advertised)
+    entry.LimitReceivedAt.try_emplace(it.Endpoint, Time.now());
   else
-    entry.HeardAt.erase(it.Endpoint);
+    entry.LimitReceivedAt.erase(it.Endpoint);
   Pushback asked;
-  asked.RequestsPerSecond = it.Named;
-  take(it.Entry, entry.Node->onPushback(Hosts[it.Endpoint].Record.Id, asked,
-                                        it.SentAt, Time.now()));
-  ++Told.Served;
-  take(it.Entry,
-       entry.Node->onAttemptEnded(it.Call, AttemptEnd::Complete, Time.now()));
+  asked.RequestsPerSecond = it.Advertised;
+  perform(it.Entry, entry.Node->onPushback(FakeEndpoints[it.Endpoint].Record.Id,
+                                           asked, it.SentAt, Time.now()));
+  ++Outcomes.Served;
+  perform(it.Entry, entry.Node->onAttemptEnded(it.Call, AttemptEnd::Complete,
+                                               Time.now()));
 }
 
-std::size_t NeedyFleet::mostWithin(unsigned endpoint, Duration span,
-                                   TimePoint from, bool ofAll) const {
+std::size_t RateLimitedFleet::mostWithin(unsigned endpoint, Duration span,
+                                         TimePoint from, bool ofAll) const {
   std::vector<TimePoint> counted;
-  for (const FleetArrival &it : Hosts[endpoint].Arrivals) {
-    bool isTold = it.EntryHeardAt && it.At - *it.EntryHeardAt >= HeardBefore;
-    if (it.At >= from && (ofAll || isTold))
+  for (const FleetArrival &it : FakeEndpoints[endpoint].Arrivals) {
+    bool isLimitKnown = it.LimitFirstReceivedAt &&
+                        it.At - *it.LimitFirstReceivedAt >= LimitKnownTime;
+    if (it.At >= from && (ofAll || isLimitKnown))
       counted.push_back(it.At);
   }
   std::size_t most = 0;
--- a/unittests/Pushback/NeedyFleet.h
+++ b/unittests/Pushback/RateLimitedFleet.h
@@ -1,4 +1,4 @@
-//===- NeedyFleet.h - entries and endpoints with rate limits ----*- C++ -*-===//
+//===- RateLimitedFleet.h - fleet with rate-limited endpoints ---*- C++ -*-===//
 //
 // Simulates entries and endpoints on virtual time. Endpoints advertise rate
 // limits in their responses. Reports between entries may be lost, and entries
@@ -7,8 +7,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_PUSHBACK_NEEDYFLEET_H
-#define OSPREYSPUR_UNITTESTS_PUSHBACK_NEEDYFLEET_H
+#ifndef OSPREYSPUR_UNITTESTS_PUSHBACK_RATELIMITEDFLEET_H
+#define OSPREYSPUR_UNITTESTS_PUSHBACK_RATELIMITEDFLEET_H
 
 #include "RandomScheduler.h"
 
@@ -35,7 +35,7 @@
   unsigned Entry = 0;
   /// When the current incarnation of the sending entry first received a rate
   /// limit of the endpoint.
-  std::optional<TimePoint> EntryHeardAt;
+  std::optional<TimePoint> LimitFirstReceivedAt;
 };
 
 /// The results of callers' requests.
@@ -47,16 +47,17 @@
   std::vector<Duration> RetryAfters;
 };
 
-class NeedyFleet {
+class RateLimitedFleet {
 public:
-  explicit NeedyFleet(std::uint64_t seed, FleetShape shape = FleetShape());
+  explicit RateLimitedFleet(std::uint64_t seed,
+                            FleetShape shape = FleetShape());
 
   void run(Duration span) { Time.runUntil(Time.now() + span); }
   TimePoint now() const { return Time.now(); }
 
   /// Sets the rate limit that the endpoint \p i advertises; empty for none.
-  void name(unsigned i, std::optional<double> perSecond) {
-    Hosts[i].Rate = perSecond;
+  void advertise(unsigned i, std::optional<double> perSecond) {
+    FakeEndpoints[i].Rate = perSecond;
   }
   /// Drops all reports from and to \p entry for \p span.
   void cut(unsigned entry, Duration span) {
@@ -72,71 +73,71 @@
   void setStoreOut(Duration span);
   /// Sends callers' requests only to \p n entries, starting at \p first.
   void useEntries(unsigned n, unsigned first = 0) {
-    Used = n;
-    FirstUsed = first;
+    UsedEntries = n;
+    FirstUsedEntry = first;
   }
 
   const std::vector<FleetArrival> &arrivals(unsigned endpoint) const {
-    return Hosts[endpoint].Arrivals;
+    return FakeEndpoints[endpoint].Arrivals;
   }
   /// The largest number of requests that reached \p endpoint within any \p span
   /// after \p from. Counts entries that had received its rate limit half a
   /// second before, or all entries with \p ofAll.
   std::size_t mostWithin(unsigned endpoint, Duration span, TimePoint from,
                          bool ofAll = false) const;
-  const FleetOutcomes &outcomes() const { return Told; }
+  const FleetOutcomes &outcomes() const { return Outcomes; }
   const DirectNode &node(unsigned entry) const { return *Nodes[entry].Node; }
 
 private:
-  struct Host {
+  struct FakeEndpoint {
     EndpointRecord Record;
     std::optional<double> Rate;
     std::vector<FleetArrival> Arrivals;
   };
   struct Entry {
     std::unique_ptr<DirectNode> Node;
-    unsigned Life = 0;
+    unsigned IncarnationNumber = 0;
     TimePoint FrozenUntil;
     TimePoint CutUntil;
     /// When the node's timer fires next.
     std::optional<TimePoint> WakeAt;
-    std::map<unsigned, TimePoint> HeardAt;
+    std::map<unsigned, TimePoint> LimitReceivedAt;
   };
   struct Pending {
     CallId Call;
     unsigned Entry = 0;
-    unsigned Life = 0;
+    unsigned IncarnationNumber = 0;
     unsigned Endpoint = 0;
     TimePoint SentAt;
-    std::optional<double> Named;
+    std::optional<double> Advertised;
   };
 
   void start(unsigned i);
-  void list(unsigned i);
-  bool isAwake(unsigned i, unsigned life) const;
-  void report(unsigned i, unsigned life);
-  void wake(unsigned i, unsigned life);
-  void arrive();
-  void take(unsigned i, const DirectActions &actions);
-  void send(unsigned i, unsigned life, const StartAttempt &order);
-  void reach(Pending it);
+  void listOthers(unsigned i);
+  bool isAwake(unsigned i, unsigned incarnation) const;
+  void report(unsigned i, unsigned incarnation);
+  void scheduleTimer(unsigned i, unsigned incarnation);
+  void generateRequest();
+  void perform(unsigned i, const DirectActions &actions);
+  void send(unsigned i, unsigned incarnation, const StartAttempt &order);
+  void deliver(Pending it);
   void answer(const Pending &it);
-  void note(const EndCall &end);
+  void recordRefusal(const EndCall &end);
 
   RandomScheduler Time;
   FleetShape Shape;
   std::shared_ptr<const FleetConfig> Config;
   std::vector<ListedEndpoint> Listed;
-  std::vector<Host> Hosts;
+  std::vector<FakeEndpoint> FakeEndpoints;
   std::vector<Entry> Nodes;
   std::map<CallId, TimePoint> ArrivedAt;
-  FleetOutcomes Told;
+  FleetOutcomes Outcomes;
   TimePoint StoreOutUntil;
   std::uint64_t LastCall = 0;
-  unsigned Used = 0;
-  unsigned FirstUsed = 0;
+  unsigned UsedEntries = 0;
+  unsigned FirstUsedEntry = 0;
 };
 
 } // namespace ospreyspur::test
 
-#endif // OSPREYSPUR_UNITTESTS_PUSHBACK_NEEDYFLEET_H
+#endif // OSPREYSPUR_UNITTESTS_PUSHBACK_RATELIMITEDFLEET_H
--- a/unittests/Pushback/RateLimitsTest.cpp
+++ b/unittests/Pushback/RateLimitsTest.cpp
@@ -18,57 +18,61 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-static constexpr LifeDigest Life{5};
+static constexpr LifeDigest TestIncarnation{5};
 static constexpr TimePoint Start{seconds(1000)};
 
-static bool isKnown(LifeDigest /*life*/) { return true; }
+static bool isKnown(LifeDigest /*incarnation*/) { return true; }
 
 TEST_CASE("a response to an earlier request neither lifts nor raises a rate "
           "limit") {
   RateLimits limits;
-  limits.onAnswer(Life, 2.0, Start, Start + seconds(1));
-  limits.onAnswer(Life, std::nullopt, Start + milliseconds(900),
+  limits.onAnswer(TestIncarnation, 2.0, Start, Start + seconds(1));
+  limits.onAnswer(TestIncarnation, std::nullopt, Start + milliseconds(900),
                   Start + seconds(2));
-  CHECK(limits.namedRate(Life) == 2.0);
-  limits.onAnswer(Life, 9.0, Start + milliseconds(900), Start + seconds(2));
-  CHECK(limits.namedRate(Life) == 2.0);
+  CHECK(limits.namedRate(TestIncarnation) == 2.0);
+  limits.onAnswer(TestIncarnation, 9.0, Start + milliseconds(900),
+                  Start + seconds(2));
+  CHECK(limits.namedRate(TestIncarnation) == 2.0);
   // Such a response may lower the limit.
-  limits.onAnswer(Life, 1.0, Start + milliseconds(900), Start + seconds(2));
-  CHECK(limits.namedRate(Life) == 1.0);
-  limits.onAnswer(Life, 9.0, Start + seconds(3), Start + seconds(4));
-  CHECK(limits.namedRate(Life) == 9.0);
-  limits.onAnswer(Life, std::nullopt, Start + seconds(5), Start + seconds(6));
-  CHECK_FALSE(limits.isLimited(Life));
+  limits.onAnswer(TestIncarnation, 1.0, Start + milliseconds(900),
+                  Start + seconds(2));
+  CHECK(limits.namedRate(TestIncarnation) == 1.0);
+  limits.onAnswer(TestIncarnation, 9.0, Start + seconds(3), Start + seconds(4));
+  CHECK(limits.namedRate(TestIncarnation) == 9.0);
+  limits.onAnswer(TestIncarnation, std::nullopt, Start + seconds(5),
+                  Start + seconds(6));
+  CHECK_FALSE(limits.isLimited(TestIncarnation));
 }
 
 TEST_CASE("a report that was sent before a limit was lifted sets no limit") {
   RateLimits limits;
-  limits.onAnswer(Life, 2.0, Start, Start + seconds(1));
-  limits.onAnswer(Life, std::nullopt, Start + seconds(2), Start + seconds(3));
-  limits.merge({{Life, 2.0, seconds(4), seconds(3)}}, isKnown,
-               Start + seconds(4));
-  CHECK_FALSE(limits.isLimited(Life));
-  limits.merge({{Life, 2.0, milliseconds(200), milliseconds(100)}}, isKnown,
+  limits.onAnswer(TestIncarnation, 2.0, Start, Start + seconds(1));
+  limits.onAnswer(TestIncarnation, std::nullopt, Start + seconds(2),
+                  Start + seconds(3));
+  limits.merge({{TestIncarnation, 2.0, seconds(4), seconds(3)}}, isKnown,
                Start + seconds(4));
-  CHECK(limits.isLimited(Life));
+  CHECK_FALSE(limits.isLimited(TestIncarnation));
+  limits.merge({{TestIncarnation, 2.0, milliseconds(200), milliseconds(100)}},
+               isKnown, Start + seconds(4));
+  CHECK(limits.isLimited(TestIncarnation));
 }
 
 TEST_CASE("an endpoint with a rate limit of zero is tried occasionally") {
   RateLimits limits;
-  limits.onAnswer(Life, 0.0, Start, Start);
+  limits.onAnswer(TestIncarnation, 0.0, Start, Start);
   unsigned taken = 0;
   for (unsigned i = 0; i < 600; ++i)
-    taken += limits.take(Life, Start + milliseconds(100) * i);
+    taken += limits.take(TestIncarnation, Start + milliseconds(100) * i);
   CHECK(taken >= 5);
   CHECK(taken <= 6);
 }
 
 TEST_CASE("an idle sender does not accumulate tokens for a burst") {
   RateLimits limits;
-  limits.onAnswer(Life, 5.0, Start, Start);
+  limits.onAnswer(TestIncarnation, 5.0, Start, Start);
   TimePoint later = Start + seconds(9);
-  CHECK(limits.take(Life, later));
-  CHECK_FALSE(limits.take(Life, later));
+  CHECK(limits.take(TestIncarnation, later));
+  CHECK_FALSE(limits.take(TestIncarnation, later));
 }
 
 TEST_CASE("tables and reports of rate limits, backoffs and leaving endpoints "
@@ -78,7 +82,7 @@
   for (std::uint64_t i = 0; i < 3 * RateLimits::MaxEndpoints; ++i)
     limits.onAnswer(LifeDigest(i), 1.0, now, now);
   CHECK(limits.limitedCount() == RateLimits::MaxEndpoints);
-  CHECK(limits.takeReport(now).size() == RateLimits::MaxRowsPerReport);
+  CHECK(limits.takeReport(now).size() == RateLimits::MaxRecordsPerReport);
   limits.setMembers(FleetMembers(), now + RateLimits::KeepFor);
   CHECK(limits.limitedCount() == 0);
   ClosedEndpoints closed;
--- a/unittests/Quarantine/CrashTrackerTest.cpp
+++ b/unittests/Quarantine/CrashTrackerTest.cpp
@@ -19,53 +19,54 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-static constexpr RequestDigest Killer(1);
-static constexpr RequestDigest Beside(2);
+static constexpr RequestDigest CrashingRequest(1);
+static constexpr RequestDigest BystanderRequest(2);
 static constexpr std::size_t Endpoints = 16;
-static constexpr milliseconds Quick(80);
+static constexpr milliseconds ShortAttempt(80);
 static constexpr TimePoint Start{seconds(1000)};
 
 static LifeDigest life(std::uint64_t n) { return LifeDigest(n); }
 
 /// Records a crash under \p request. Returns whether a request is quarantined
 /// once the verdict is due.
-static bool crash(CrashTracker &tracker, RequestDigest request, unsigned lifeOf,
-                  Duration ran, TimePoint now) {
-  tracker.onCrash(request, life(lifeOf), ran, Endpoints, now);
+static bool crash(CrashTracker &tracker, RequestDigest request,
+                  unsigned crashedIncarnation, Duration ran, TimePoint now) {
+  tracker.onCrash(request, life(crashedIncarnation), ran, Endpoints, now);
   return !tracker.judge(now + CrashLimits().SettleTime).empty();
 }
 
 TEST_CASE("a request is quarantined at the third crash after short attempts "
           "if nothing else crashes") {
   CrashTracker tracker;
-  CHECK_FALSE(crash(tracker, Killer, 1, Quick, Start));
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Suspect);
-  CHECK_FALSE(crash(tracker, Killer, 2, Quick, Start + seconds(2)));
-  CHECK(crash(tracker, Killer, 3, Quick, Start + seconds(4)));
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Quarantined);
+  CHECK_FALSE(crash(tracker, CrashingRequest, 1, ShortAttempt, Start));
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Suspect);
+  CHECK_FALSE(
+      crash(tracker, CrashingRequest, 2, ShortAttempt, Start + seconds(2)));
+  CHECK(crash(tracker, CrashingRequest, 3, ShortAttempt, Start + seconds(4)));
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Quarantined);
 }
 
 TEST_CASE("a crash of the same incarnation does not count twice") {
   CrashTracker tracker;
   for (unsigned i = 0; i < 10; ++i)
-    crash(tracker, Killer, 1, Quick, Start);
-  CHECK(tracker.crashesOf(Killer) == 1);
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Suspect);
+    crash(tracker, CrashingRequest, 1, ShortAttempt, Start);
+  CHECK(tracker.crashesOf(CrashingRequest) == 1);
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Suspect);
 }
 
 TEST_CASE("a complete response clears a request") {
   CrashTracker tracker;
-  crash(tracker, Killer, 1, Quick, Start);
-  tracker.onWhole(Killer, Start + seconds(1));
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Unknown);
+  crash(tracker, CrashingRequest, 1, ShortAttempt, Start);
+  tracker.onWhole(CrashingRequest, Start + seconds(1));
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Unknown);
   TimePoint now = Start + seconds(2);
-  CHECK_FALSE(crash(tracker, Killer, 2, Quick, now));
+  CHECK_FALSE(crash(tracker, CrashingRequest, 2, ShortAttempt, now));
   // A late report of a crash before that response does not count.
   CrashRow late;
-  late.Request = Killer;
-  late.Crashes.push_back({life(1), now - Start, Quick});
+  late.Request = CrashingRequest;
+  late.Crashes.push_back({life(1), now - Start, ShortAttempt});
   CHECK(tracker.merge("other", {{late}, {}}, now).empty());
-  CHECK(tracker.crashesOf(Killer) == 1);
+  CHECK(tracker.crashesOf(CrashingRequest) == 1);
 }
 
 TEST_CASE("crashes are weaker evidence while other endpoints crash too") {
@@ -76,10 +77,10 @@
           Start - seconds(i));
   TimePoint now = Start;
   for (unsigned i = 1; i <= 3; ++i, now += seconds(1))
-    CHECK_FALSE(crash(tracker, Killer, i, milliseconds(400), now));
-  CHECK(tracker.chanceOf(Killer, now) > 1e-6);
-  // At MostCrashes the request is quarantined whatever else crashes.
-  CHECK(crash(tracker, Killer, 4, milliseconds(400), now));
+    CHECK_FALSE(crash(tracker, CrashingRequest, i, milliseconds(400), now));
+  CHECK(tracker.chanceOf(CrashingRequest, now) > 1e-6);
+  // At QuarantineCrashes the request is quarantined whatever else crashes.
+  CHECK(crash(tracker, CrashingRequest, 4, milliseconds(400), now));
 }
 
 TEST_CASE("of two requests that were running at the same crashes neither is "
@@ -88,32 +89,33 @@
   TimePoint now = Start;
   for (unsigned i = 1; i <= 3; ++i, now += seconds(1)) {
     // One entry learns of the crash 5 ms before the other.
-    tracker.onCrash(Beside, life(i), Quick, Endpoints, now);
+    tracker.onCrash(BystanderRequest, life(i), ShortAttempt, Endpoints, now);
     CHECK(tracker.judge(now + milliseconds(5)).empty());
-    CHECK_FALSE(crash(tracker, Killer, i, Quick, now + milliseconds(5)));
+    CHECK_FALSE(crash(tracker, CrashingRequest, i, ShortAttempt,
+                      now + milliseconds(5)));
   }
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Suspect);
-  CHECK(tracker.standingOf(Beside) == CrashStanding::Suspect);
-  CHECK(crash(tracker, Killer, 4, Quick, now));
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Suspect);
+  CHECK(tracker.standingOf(BystanderRequest) == CrashStanding::Suspect);
+  CHECK(crash(tracker, CrashingRequest, 4, ShortAttempt, now));
   // Crashes explained by one request are no evidence against the other.
-  CHECK(tracker.standingOf(Beside) == CrashStanding::Unknown);
-  CHECK_FALSE(crash(tracker, Beside, 3, Quick, now));
-  CHECK(tracker.standingOf(Beside) == CrashStanding::Unknown);
+  CHECK(tracker.standingOf(BystanderRequest) == CrashStanding::Unknown);
+  CHECK_FALSE(crash(tracker, BystanderRequest, 3, ShortAttempt, now));
+  CHECK(tracker.standingOf(BystanderRequest) == CrashStanding::Unknown);
 }
 
 TEST_CASE("a late complete response clears a quarantined request") {
   CrashTracker tracker;
   for (unsigned i = 0; i < 3; ++i)
-    crash(tracker, Killer, i, Quick, Start + seconds(i));
-  REQUIRE(tracker.standingOf(Killer) == CrashStanding::Quarantined);
-  tracker.onWhole(Killer, Start + seconds(4));
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Unknown);
-  CHECK(tracker.cleared() == std::vector{Killer});
+    crash(tracker, CrashingRequest, i, ShortAttempt, Start + seconds(i));
+  REQUIRE(tracker.standingOf(CrashingRequest) == CrashStanding::Quarantined);
+  tracker.onWhole(CrashingRequest, Start + seconds(4));
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Unknown);
+  CHECK(tracker.cleared() == std::vector{CrashingRequest});
 }
 
 /// Returns all records that \p from announces within ten seconds, repeats
 /// included.
-static std::vector<CrashRow> tellAll(CrashTracker &from, TimePoint now) {
+static std::vector<CrashRow> takeAllRecords(CrashTracker &from, TimePoint now) {
   std::vector<CrashRow> out;
   for (unsigned i = 0; i < 100; ++i, now += milliseconds(100))
     for (CrashRow &it : from.takeRows(1, now))
@@ -129,14 +131,15 @@
     // evidence alone.
     CrashTracker first;
     CrashTracker second;
-    first.onCrash(Killer, life(1), Quick, Endpoints, Start);
-    first.onCrash(Beside, life(1), Quick, Endpoints, Start);
-    first.onWhole(Beside, Start + seconds(1));
+    first.onCrash(CrashingRequest, life(1), ShortAttempt, Endpoints, Start);
+    first.onCrash(BystanderRequest, life(1), ShortAttempt, Endpoints, Start);
+    first.onWhole(BystanderRequest, Start + seconds(1));
     for (unsigned i = 2; i <= 3; ++i)
-      second.onCrash(Killer, life(i), Quick, Endpoints, Start + seconds(2));
+      second.onCrash(CrashingRequest, life(i), ShortAttempt, Endpoints,
+                     Start + seconds(2));
     TimePoint now = Start + seconds(3);
-    std::vector<CrashRow> told = tellAll(first, now);
-    for (CrashRow &it : tellAll(second, now))
+    std::vector<CrashRow> told = takeAllRecords(first, now);
+    for (CrashRow &it : takeAllRecords(second, now))
       told.push_back(std::move(it));
     // The records were announced within ten seconds; merge all of them at the
     // end of that time.
@@ -145,8 +148,8 @@
     for (const CrashRow &it : told)
       third.merge("other", {{it}, {}}, now + seconds(10));
     third.judge(now + seconds(11));
-    CHECK(third.standingOf(Killer) == CrashStanding::Quarantined);
-    CHECK(third.standingOf(Beside) == CrashStanding::Unknown);
+    CHECK(third.standingOf(CrashingRequest) == CrashStanding::Quarantined);
+    CHECK(third.standingOf(BystanderRequest) == CrashStanding::Unknown);
   }
 }
 
@@ -155,12 +158,12 @@
   CrashLimits limits;
   CrashTracker tracker(limits);
   for (unsigned i = 0; i < 3; ++i)
-    crash(tracker, Killer, i, Quick, Start + seconds(i));
-  REQUIRE(tracker.standingOf(Killer) == CrashStanding::Quarantined);
+    crash(tracker, CrashingRequest, i, ShortAttempt, Start + seconds(i));
+  REQUIRE(tracker.standingOf(CrashingRequest) == CrashStanding::Quarantined);
   TimePoint now = Start + seconds(3);
   std::size_t mostBytes = 0;
   for (std::uint64_t i = 0; i < 20000; ++i, now += milliseconds(5)) {
-    tracker.onCrash(RequestDigest(1000 + i), life(1000 + i / 12), Quick,
+    tracker.onCrash(RequestDigest(1000 + i), life(1000 + i / 12), ShortAttempt,
                     Endpoints, now);
     if (i % 20 == 0) {
       LoadReport report{"n", {}, {tracker.takeRows(4, now), {}}};
@@ -168,32 +171,32 @@
     }
   }
   CHECK(tracker.rowCount() <= limits.MaxRows);
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Quarantined);
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Quarantined);
   // A datagram that holds a report must not be fragmented often.
   CHECK(mostBytes <= 4096);
 }
 
 TEST_CASE("quarantined requests expire unless they are received again") {
   CrashTracker tracker;
-  for (RequestDigest it : {Killer, Beside}) {
+  for (RequestDigest it : {CrashingRequest, BystanderRequest}) {
     for (unsigned i = 0; i < 3; ++i)
-      crash(tracker, it, unsigned(it.get()) * 10 + i, Quick,
+      crash(tracker, it, unsigned(it.get()) * 10 + i, ShortAttempt,
             Start + seconds(30 * i));
   }
   TimePoint now = Start;
   for (unsigned i = 0; i < 24; ++i, now += minutes(1)) {
-    tracker.onSeen(Killer, now);
+    tracker.onSeen(CrashingRequest, now);
     tracker.takeRows(4, now);
   }
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Quarantined);
-  CHECK(tracker.standingOf(Beside) == CrashStanding::Unknown);
-  CHECK(tracker.quarantined() == std::vector{Killer});
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Quarantined);
+  CHECK(tracker.standingOf(BystanderRequest) == CrashStanding::Unknown);
+  CHECK(tracker.quarantined() == std::vector{CrashingRequest});
 }
 
 TEST_CASE("records are decoded unchanged, and oversized reports are "
           "truncated") {
   CrashRow row;
-  row.Request = Killer;
+  row.Request = CrashingRequest;
   row.Endpoints = 16;
   row.SeenAge = seconds(3);
   row.ClearedAge = seconds(4);
@@ -201,14 +204,14 @@
   for (std::uint64_t i = 0; i < 100; ++i)
     row.Crashes.push_back({life(i), seconds(i), milliseconds(i)});
   LoadReport report{"n", {}, {std::vector<CrashRow>(200, row), {}}};
-  report.Crashes.Runs.assign(200, {Beside, life(7)});
+  report.Crashes.Runs.assign(200, {BystanderRequest, life(7)});
   std::optional<LoadReport> read = decodeLoad(encodeLoad(report));
   REQUIRE(read);
   CHECK(read->Crashes.Rows.size() <= 64);
   CHECK(read->Crashes.Runs.size() <= 64);
-  CHECK(read->Crashes.Runs.front().Request == Beside);
+  CHECK(read->Crashes.Runs.front().Request == BystanderRequest);
   const CrashRow &got = read->Crashes.Rows.front();
-  CHECK(got.Request == Killer);
+  CHECK(got.Request == CrashingRequest);
   CHECK(got.Crashes.size() <= 8);
   CHECK(got.Crashes.at(3).Age == seconds(3));
   CHECK(got.QuarantinedAge == Duration(seconds(2)));
@@ -221,8 +224,8 @@
     CrashTracker tracker;
     for (std::uint64_t i = 0; i < 200; ++i)
       for (unsigned k = 0; k < 4; ++k)
-        tracker.onCrash(RequestDigest(100 + i), life(1000 + i * 4 + k), Quick,
-                        Endpoints, Start);
+        tracker.onCrash(RequestDigest(100 + i), life(1000 + i * 4 + k),
+                        ShortAttempt, Endpoints, Start);
     tracker.judge(Start + seconds(1));
     TimePoint now = Start + seconds(60);
     // All first announcements are made by then.
--- a/unittests/Quarantine/QuarantineStoreTest.cpp
+++ b/unittests/Quarantine/QuarantineStoreTest.cpp
@@ -22,9 +22,9 @@
 namespace {
 /// The QuarantineStores of several entries and one key-value store, on virtual
 /// time.
-class StoreWorld {
+class StoreSimulation {
 public:
-  explicit StoreWorld(unsigned entries) {
+  explicit StoreSimulation(unsigned entries) {
     for (unsigned i = 0; i < entries; ++i)
       Entries.emplace_back(i + 1);
   }
@@ -38,7 +38,7 @@
   std::vector<QuarantineStore> Entries;
   std::vector<RequestDigest> Restored;
   TimePoint Now{seconds(100)};
-  bool IsOut = false;
+  bool IsStoreDown = false;
   unsigned Writes = 0;
 
 private:
@@ -49,7 +49,7 @@
     bool isWrite = std::holds_alternative<KvPut>(*call);
     Writes += isWrite ? 1 : 0;
     KvReply reply{ResultCode::PlatformTimeout, {}, {}};
-    if (!IsOut)
+    if (!IsStoreDown)
       reply = Service.perform(*call, Now);
     for (RequestDigest it : entry.onReply(reply, Now))
       Restored.push_back(it);
@@ -60,80 +60,81 @@
 } // namespace
 
 TEST_CASE("an entry restores requests that an earlier entry quarantined") {
-  StoreWorld world(1);
-  world.run(seconds(1));
-  world.Entries[0].setOwn({First}, {}, world.Now);
-  world.run(seconds(2));
-  world.Entries.clear();
-  world.Entries.emplace_back(9);
-  world.run(seconds(1));
-  CHECK(world.Restored == std::vector{First});
+  StoreSimulation simulation(1);
+  simulation.run(seconds(1));
+  simulation.Entries[0].setOwn({First}, {}, simulation.Now);
+  simulation.run(seconds(2));
+  simulation.Entries.clear();
+  simulation.Entries.emplace_back(9);
+  simulation.run(seconds(1));
+  CHECK(simulation.Restored == std::vector{First});
 }
 
 TEST_CASE("few of the entries that learn of a quarantined request write it") {
-  StoreWorld world(52);
-  world.run(seconds(1));
-  for (QuarantineStore &it : world.Entries)
-    it.setOwn({First}, {}, world.Now);
-  world.run(seconds(5));
-  CHECK(world.Writes <= 8);
-  for (const QuarantineStore &it : world.Entries)
+  StoreSimulation simulation(52);
+  simulation.run(seconds(1));
+  for (QuarantineStore &it : simulation.Entries)
+    it.setOwn({First}, {}, simulation.Now);
+  simulation.run(seconds(5));
+  CHECK(simulation.Writes <= 8);
+  for (const QuarantineStore &it : simulation.Entries)
     CHECK(it.stored() == std::vector{First});
 }
 
 TEST_CASE("requests quarantined in a store outage are written after it") {
-  StoreWorld world(2);
-  world.run(seconds(1));
-  world.IsOut = true;
-  world.Entries[0].setOwn({First}, {}, world.Now);
-  world.Entries[1].setOwn({Second}, {}, world.Now);
-  world.run(seconds(30));
-  CHECK(world.Writes == 0);
-  world.IsOut = false;
-  world.run(seconds(10));
-  CHECK(world.Entries[0].stored().size() + world.Entries[1].stored().size() >=
+  StoreSimulation simulation(2);
+  simulation.run(seconds(1));
+  simulation.IsStoreDown = true;
+  simulation.Entries[0].setOwn({First}, {}, simulation.Now);
+  simulation.Entries[1].setOwn({Second}, {}, simulation.Now);
+  simulation.run(seconds(30));
+  CHECK(simulation.Writes == 0);
+  simulation.IsStoreDown = false;
+  simulation.run(seconds(10));
+  CHECK(simulation.Entries[0].stored().size() +
+            simulation.Entries[1].stored().size() >=
         3);
-  world.Entries.emplace_back(9);
-  world.run(seconds(1));
-  CHECK(world.Restored.size() == 2);
+  simulation.Entries.emplace_back(9);
+  simulation.run(seconds(1));
+  CHECK(simulation.Restored.size() == 2);
 }
 
 TEST_CASE("a cleared request is removed from the store") {
-  StoreWorld world(1);
-  world.run(seconds(1));
-  world.Entries[0].setOwn({First, Second}, {}, world.Now);
-  world.run(seconds(2));
-  world.Entries[0].setOwn({Second}, {First}, world.Now);
-  world.run(seconds(2));
-  CHECK(world.Entries[0].stored() == std::vector{Second});
+  StoreSimulation simulation(1);
+  simulation.run(seconds(1));
+  simulation.Entries[0].setOwn({First, Second}, {}, simulation.Now);
+  simulation.run(seconds(2));
+  simulation.Entries[0].setOwn({Second}, {First}, simulation.Now);
+  simulation.run(seconds(2));
+  CHECK(simulation.Entries[0].stored() == std::vector{Second});
 }
 
 TEST_CASE("the value is kept while an entry knows it and expires after that") {
-  StoreWorld world(1);
-  world.run(seconds(1));
-  world.Entries[0].setOwn({First}, {}, world.Now);
-  world.run(minutes(25));
-  world.Entries.emplace_back(9);
-  world.run(seconds(1));
-  CHECK(world.Restored == std::vector{First});
-  CHECK(world.Writes <= 6);
+  StoreSimulation simulation(1);
+  simulation.run(seconds(1));
+  simulation.Entries[0].setOwn({First}, {}, simulation.Now);
+  simulation.run(minutes(25));
+  simulation.Entries.emplace_back(9);
+  simulation.run(seconds(1));
+  CHECK(simulation.Restored == std::vector{First});
+  CHECK(simulation.Writes <= 6);
   // No entry is left that knows the request.
-  world.Restored.clear();
-  world.Entries.clear();
-  world.run(minutes(1));
-  world.Now += minutes(15);
-  world.Entries.emplace_back(10);
-  world.run(seconds(1));
-  CHECK(world.Restored.empty());
+  simulation.Restored.clear();
+  simulation.Entries.clear();
+  simulation.run(minutes(1));
+  simulation.Now += minutes(15);
+  simulation.Entries.emplace_back(10);
+  simulation.run(seconds(1));
+  CHECK(simulation.Restored.empty());
 }
 
 TEST_CASE("the stored value is bounded") {
-  StoreWorld world(1);
-  world.run(seconds(1));
+  StoreSimulation simulation(1);
+  simulation.run(seconds(1));
   std::vector<RequestDigest> many;
   for (std::uint64_t i = 1; i <= 10 * QuarantineStore::MaxStored; ++i)
     many.emplace_back(i);
-  world.Entries[0].setOwn(many, {}, world.Now);
-  world.run(seconds(3));
-  CHECK(world.Entries[0].stored().size() == QuarantineStore::MaxStored);
+  simulation.Entries[0].setOwn(many, {}, simulation.Now);
+  simulation.run(seconds(3));
+  CHECK(simulation.Entries[0].stored().size() == QuarantineStore::MaxStored);
 }
