--- a/include/ospreyspur/Quarantine/CrashTracker.h
+++ b/include/ospreyspur/Quarantine/CrashTracker.h
@@ -73,7 +73,7 @@
   /// Most records that are announced again in one report.
   std::size_t RefreshRecords = 2;
   /// Most records in a report.
-  std::size_t MaxReportRows = 32;
+  std::size_t MaxReportRecords = 32;
   /// After this time the attempts that another entry reported are ignored.
   Duration PeerAttemptMaxAge = std::chrono::seconds(1);
 };
@@ -117,8 +117,8 @@
   /// Returns the records to announce to the other entries now. \p entries is
   /// the number of entries, including this one.
   std::vector<CrashRow> takeRows(std::size_t entries, TimePoint now);
-  /// Returns all records, in reports of at most MaxReportRows. They don't count
-  /// as announced.
+  /// Returns all records, in reports of at most MaxReportRecords. They don't
+  /// count as announced.
   std::vector<CrashReport> allRows(TimePoint now);
 
   // Queries.
--- a/lib/Quarantine/CrashTracker.cpp
+++ b/lib/Quarantine/CrashTracker.cpp
@@ -124,7 +124,8 @@
                                              TimePoint now) {
   std::vector<CrashRow> out;
   for (auto &[request, row] : Rows) {
-    if (row.RemainingAnnouncements == 0 || out.size() >= Limits.MaxReportRows)
+    if (row.RemainingAnnouncements == 0 ||
+        out.size() >= Limits.MaxReportRecords)
       continue;
     --row.RemainingAnnouncements;
     out.push_back(makeRecord(request, row, now));
@@ -141,7 +142,7 @@
   expire(now);
   std::vector<CrashReport> out;
   for (const auto &[request, row] : Rows) {
-    if (out.empty() || out.back().Rows.size() >= Limits.MaxReportRows)
+    if (out.empty() || out.back().Rows.size() >= Limits.MaxReportRecords)
       out.emplace_back();
     out.back().Rows.push_back(makeRecord(request, row, now));
   }
@@ -160,7 +161,7 @@
       it = Rows.begin();
     const Row &row = it->second;
     if ((row.QuarantinedAt || row.Crashes.size() > 1) &&
-        out.size() < Limits.MaxReportRows) {
+        out.size() < Limits.MaxReportRecords) {
       out.push_back(makeRecord(it->first, row, now));
       LastRefreshed = it->first;
       ++added;
