--- a/unittests/Quarantine/CrashTrackerTest.cpp
+++ b/unittests/Quarantine/CrashTrackerTest.cpp
@@ -1,7 +1,8 @@
-//===- CrashTrackerTest.cpp - who ended an endpoint -----------------------===//
+//===- CrashTrackerTest.cpp - finding requests that crash endpoints -------===//
 //
-// The request that ends endpoints, what ran beside it, and endpoints that end
-// by themselves are to be told apart, in a table that callers cannot fill.
+// The tracker must distinguish a request that crashes endpoints from requests
+// that ran on the same endpoint and from endpoints that crash for other
+// reasons, in a table that callers can't fill.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,98 +19,103 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-static constexpr RequestDigest Killer(1);
-static constexpr RequestDigest Beside(2);
+static constexpr RequestDigest CrashingRequest(1);
+static constexpr RequestDigest BystanderRequest(2);
 static constexpr std::size_t Endpoints = 16;
-static constexpr milliseconds Quick(80);
+static constexpr milliseconds ShortAttempt(80);
 static constexpr TimePoint Start{seconds(1000)};
 
 static LifeDigest life(std::uint64_t n) { return LifeDigest(n); }
 
-/// An end under \p request, judged when its time has come.
-static bool crash(CrashTracker &tracker, RequestDigest request, unsigned lifeOf,
-                  Duration ran, TimePoint now) {
-  tracker.onCrash(request, life(lifeOf), ran, Endpoints, now);
+/// Records a crash under \p request. Returns whether a request is quarantined
+/// once the verdict is due.
+static bool crash(CrashTracker &tracker, RequestDigest request,
+                  unsigned crashedIncarnation, Duration ran, TimePoint now) {
+  tracker.onCrash(request, life(crashedIncarnation), ran, Endpoints, now);
   return !tracker.judge(now + CrashLimits().SettleTime).empty();
 }
 
-TEST_CASE("three quick ends in quiet times are proof enough, fewer are not") {
+TEST_CASE("a request is quarantined at the third crash after short attempts "
+          "if nothing else crashes") {
   CrashTracker tracker;
-  CHECK_FALSE(crash(tracker, Killer, 1, Quick, Start));
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Suspect);
-  CHECK_FALSE(crash(tracker, Killer, 2, Quick, Start + seconds(2)));
-  CHECK(crash(tracker, Killer, 3, Quick, Start + seconds(4)));
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Quarantined);
+  CHECK_FALSE(crash(tracker, CrashingRequest, 1, ShortAttempt, Start));
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Suspect);
+  CHECK_FALSE(
+      crash(tracker, CrashingRequest, 2, ShortAttempt, Start + seconds(2)));
+  CHECK(crash(tracker, CrashingRequest, 3, ShortAttempt, Start + seconds(4)));
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Quarantined);
 }
 
-TEST_CASE("the same life does not count twice") {
+TEST_CASE("a crash of the same incarnation does not count twice") {
   CrashTracker tracker;
   for (unsigned i = 0; i < 10; ++i)
-    crash(tracker, Killer, 1, Quick, Start);
-  CHECK(tracker.crashesOf(Killer) == 1);
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Suspect);
+    crash(tracker, CrashingRequest, 1, ShortAttempt, Start);
+  CHECK(tracker.crashesOf(CrashingRequest) == 1);
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Suspect);
 }
 
-TEST_CASE("a whole answer clears a request") {
+TEST_CASE("a complete response clears a request") {
   CrashTracker tracker;
-  crash(tracker, Killer, 1, Quick, Start);
-  tracker.onWhole(Killer, Start + seconds(1));
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Unknown);
+  crash(tracker, CrashingRequest, 1, ShortAttempt, Start);
+  tracker.onWhole(CrashingRequest, Start + seconds(1));
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Unknown);
   TimePoint now = Start + seconds(2);
-  CHECK_FALSE(crash(tracker, Killer, 2, Quick, now));
-  // Late news of what was before do not count any more.
+  CHECK_FALSE(crash(tracker, CrashingRequest, 2, ShortAttempt, now));
+  // A late report of a crash before that response does not count.
   CrashRow late;
-  late.Request = Killer;
-  late.Crashes.push_back({life(1), now - Start, Quick});
+  late.Request = CrashingRequest;
+  late.Crashes.push_back({life(1), now - Start, ShortAttempt});
   CHECK(tracker.merge("other", {{late}, {}}, now).empty());
-  CHECK(tracker.crashesOf(Killer) == 1);
+  CHECK(tracker.crashesOf(CrashingRequest) == 1);
 }
 
-TEST_CASE("ends that come in waves prove less") {
+TEST_CASE("crashes are weaker evidence while other endpoints crash too") {
   CrashTracker tracker;
-  // Seven endpoints end in the seconds before, under other requests.
+  // Seven endpoints crash under other requests in the seconds before.
   for (unsigned i = 0; i < 7; ++i)
     crash(tracker, RequestDigest(100 + i), 100 + i, seconds(1),
           Start - seconds(i));
   TimePoint now = Start;
   for (unsigned i = 1; i <= 3; ++i, now += seconds(1))
-    CHECK_FALSE(crash(tracker, Killer, i, milliseconds(400), now));
-  CHECK(tracker.chanceOf(Killer, now) > 1e-6);
-  // Whatever else ends, there is an end to it.
-  CHECK(crash(tracker, Killer, 4, milliseconds(400), now));
+    CHECK_FALSE(crash(tracker, CrashingRequest, i, milliseconds(400), now));
+  CHECK(tracker.chanceOf(CrashingRequest, now) > 1e-6);
+  // At QuarantineCrashes the request is quarantined whatever else crashes.
+  CHECK(crash(tracker, CrashingRequest, 4, milliseconds(400), now));
 }
 
-TEST_CASE(
-    "of two requests at the same ends neither is blamed before they part") {
+TEST_CASE("of two requests that were running at the same crashes neither is "
+          "quarantined until one meets a crash alone") {
   CrashTracker tracker;
   TimePoint now = Start;
   for (unsigned i = 1; i <= 3; ++i, now += seconds(1)) {
-    // One entry hears of it a moment before the other.
-    tracker.onCrash(Beside, life(i), Quick, Endpoints, now);
+    // One entry learns of the crash 5 ms before the other.
+    tracker.onCrash(BystanderRequest, life(i), ShortAttempt, Endpoints, now);
     CHECK(tracker.judge(now + milliseconds(5)).empty());
-    CHECK_FALSE(crash(tracker, Killer, i, Quick, now + milliseconds(5)));
+    CHECK_FALSE(crash(tracker, CrashingRequest, i, ShortAttempt,
+                      now + milliseconds(5)));
   }
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Suspect);
-  CHECK(tracker.standingOf(Beside) == CrashStanding::Suspect);
-  CHECK(crash(tracker, Killer, 4, Quick, now));
-  // What the one did does not speak against the other.
-  CHECK(tracker.standingOf(Beside) == CrashStanding::Unknown);
-  CHECK_FALSE(crash(tracker, Beside, 3, Quick, now));
-  CHECK(tracker.standingOf(Beside) == CrashStanding::Unknown);
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Suspect);
+  CHECK(tracker.standingOf(BystanderRequest) == CrashStanding::Suspect);
+  CHECK(crash(tracker, CrashingRequest, 4, ShortAttempt, now));
+  // Crashes explained by one request are no evidence against the other.
+  CHECK(tracker.standingOf(BystanderRequest) == CrashStanding::Unknown);
+  CHECK_FALSE(crash(tracker, BystanderRequest, 3, ShortAttempt, now));
+  CHECK(tracker.standingOf(BystanderRequest) == CrashStanding::Unknown);
 }
 
-TEST_CASE("a quarantined request that gets a whole answer after all is free") {
+TEST_CASE("a late complete response clears a quarantined request") {
   CrashTracker tracker;
   for (unsigned i = 0; i < 3; ++i)
-    crash(tracker, Killer, i, Quick, Start + seconds(i));
-  REQUIRE(tracker.standingOf(Killer) == CrashStanding::Quarantined);
-  tracker.onWhole(Killer, Start + seconds(4));
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Unknown);
-  CHECK(tracker.cleared() == std::vector{Killer});
+    crash(tracker, CrashingRequest, i, ShortAttempt, Start + seconds(i));
+  REQUIRE(tracker.standingOf(CrashingRequest) == CrashStanding::Quarantined);
+  tracker.onWhole(CrashingRequest, Start + seconds(4));
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Unknown);
+  CHECK(tracker.cleared() == std::vector{CrashingRequest});
 }
 
-/// Everything that \p from tells in a while, in any order and more than once.
-static std::vector<CrashRow> tellAll(CrashTracker &from, TimePoint now) {
+/// Returns all records that \p from announces within ten seconds, repeats
+/// included.
+static std::vector<CrashRow> takeAllRecords(CrashTracker &from, TimePoint now) {
   std::vector<CrashRow> out;
   for (unsigned i = 0; i < 100; ++i, now += milliseconds(100))
     for (CrashRow &it : from.takeRows(1, now))
@@ -117,43 +123,47 @@
   return out;
 }
 
-TEST_CASE("what entries tell each other may come in any order, at any time") {
+TEST_CASE("reports of other entries may arrive late and in any order") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
-    // One sees the first end and a whole answer of another request, another the
-    // two later ends; neither has proof.
+    // The first entry sees the first crash and a complete response to another
+    // request, the second entry sees the two later crashes. Neither has enough
+    // evidence alone.
     CrashTracker first;
     CrashTracker second;
-    first.onCrash(Killer, life(1), Quick, Endpoints, Start);
-    first.onCrash(Beside, life(1), Quick, Endpoints, Start);
-    first.onWhole(Beside, Start + seconds(1));
+    first.onCrash(CrashingRequest, life(1), ShortAttempt, Endpoints, Start);
+    first.onCrash(BystanderRequest, life(1), ShortAttempt, Endpoints, Start);
+    first.onWhole(BystanderRequest, Start + seconds(1));
     for (unsigned i = 2; i <= 3; ++i)
-      second.onCrash(Killer, life(i), Quick, Endpoints, Start + seconds(2));
+      second.onCrash(CrashingRequest, life(i), ShortAttempt, Endpoints,
+                     Start + seconds(2));
     TimePoint now = Start + seconds(3);
-    std::vector<CrashRow> told = tellAll(first, now);
-    for (CrashRow &it : tellAll(second, now))
+    std::vector<CrashRow> told = takeAllRecords(first, now);
+    for (CrashRow &it : takeAllRecords(second, now))
       told.push_back(std::move(it));
-    // All ages were told within ten seconds; make them of one moment.
+    // The records were announced within ten seconds; merge all of them at the
+    // end of that time.
     std::shuffle(told.begin(), told.end(), random);
     CrashTracker third;
     for (const CrashRow &it : told)
       third.merge("other", {{it}, {}}, now + seconds(10));
     third.judge(now + seconds(11));
-    CHECK(third.standingOf(Killer) == CrashStanding::Quarantined);
-    CHECK(third.standingOf(Beside) == CrashStanding::Unknown);
+    CHECK(third.standingOf(CrashingRequest) == CrashStanding::Quarantined);
+    CHECK(third.standingOf(BystanderRequest) == CrashStanding::Unknown);
   }
 }
 
-TEST_CASE("callers who send a new body each time cannot fill the table") {
+TEST_CASE("callers that send a different body each time can't evict a "
+          "quarantined request") {
   CrashLimits limits;
   CrashTracker tracker(limits);
   for (unsigned i = 0; i < 3; ++i)
-    crash(tracker, Killer, i, Quick, Start + seconds(i));
-  REQUIRE(tracker.standingOf(Killer) == CrashStanding::Quarantined);
+    crash(tracker, CrashingRequest, i, ShortAttempt, Start + seconds(i));
+  REQUIRE(tracker.standingOf(CrashingRequest) == CrashStanding::Quarantined);
   TimePoint now = Start + seconds(3);
   std::size_t mostBytes = 0;
   for (std::uint64_t i = 0; i < 20000; ++i, now += milliseconds(5)) {
-    tracker.onCrash(RequestDigest(1000 + i), life(1000 + i / 12), Quick,
+    tracker.onCrash(RequestDigest(1000 + i), life(1000 + i / 12), ShortAttempt,
                     Endpoints, now);
     if (i % 20 == 0) {
       LoadReport report{"n", {}, {tracker.takeRows(4, now), {}}};
@@ -161,31 +171,32 @@
     }
   }
   CHECK(tracker.rowCount() <= limits.MaxRows);
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Quarantined);
-  // A report must fit into what one datagram takes without being split often.
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Quarantined);
+  // A datagram that holds a report must not be fragmented often.
   CHECK(mostBytes <= 4096);
 }
 
-TEST_CASE("what nobody sends any more is forgotten, what comes again is not") {
+TEST_CASE("quarantined requests expire unless they are received again") {
   CrashTracker tracker;
-  for (RequestDigest it : {Killer, Beside}) {
+  for (RequestDigest it : {CrashingRequest, BystanderRequest}) {
     for (unsigned i = 0; i < 3; ++i)
-      crash(tracker, it, unsigned(it.get()) * 10 + i, Quick,
+      crash(tracker, it, unsigned(it.get()) * 10 + i, ShortAttempt,
             Start + seconds(30 * i));
   }
   TimePoint now = Start;
   for (unsigned i = 0; i < 24; ++i, now += minutes(1)) {
-    tracker.onSeen(Killer, now);
+    tracker.onSeen(CrashingRequest, now);
     tracker.takeRows(4, now);
   }
-  CHECK(tracker.standingOf(Killer) == CrashStanding::Quarantined);
-  CHECK(tracker.standingOf(Beside) == CrashStanding::Unknown);
-  CHECK(tracker.quarantined() == std::vector{Killer});
+  CHECK(tracker.standingOf(CrashingRequest) == CrashStanding::Quarantined);
+  CHECK(tracker.standingOf(BystanderRequest) == CrashStanding::Unknown);
+  CHECK(tracker.quarantined() == std::vector{CrashingRequest});
 }
 
-TEST_CASE("rows pass a datagram unchanged, and damaged ones are bounded") {
+TEST_CASE("records are decoded unchanged, and oversized reports are "
+          "truncated") {
   CrashRow row;
-  row.Request = Killer;
+  row.Request = CrashingRequest;
   row.Endpoints = 16;
   row.SeenAge = seconds(3);
   row.ClearedAge = seconds(4);
@@ -193,30 +204,31 @@
   for (std::uint64_t i = 0; i < 100; ++i)
     row.Crashes.push_back({life(i), seconds(i), milliseconds(i)});
   LoadReport report{"n", {}, {std::vector<CrashRow>(200, row), {}}};
-  report.Crashes.Runs.assign(200, {Beside, life(7)});
+  report.Crashes.Runs.assign(200, {BystanderRequest, life(7)});
   std::optional<LoadReport> read = decodeLoad(encodeLoad(report));
   REQUIRE(read);
   CHECK(read->Crashes.Rows.size() <= 64);
   CHECK(read->Crashes.Runs.size() <= 64);
-  CHECK(read->Crashes.Runs.front().Request == Beside);
+  CHECK(read->Crashes.Runs.front().Request == BystanderRequest);
   const CrashRow &got = read->Crashes.Rows.front();
-  CHECK(got.Request == Killer);
+  CHECK(got.Request == CrashingRequest);
   CHECK(got.Crashes.size() <= 8);
   CHECK(got.Crashes.at(3).Age == seconds(3));
   CHECK(got.QuarantinedAge == Duration(seconds(2)));
   CHECK(got.ClearedAge == Duration(seconds(4)));
 }
 
-TEST_CASE("what an entry hears of old rows does not grow with the fleet") {
+TEST_CASE("the rate of repeated records that an entry receives does not grow "
+          "with the fleet") {
   for (std::size_t entries : {4, 52, 370}) {
     CrashTracker tracker;
     for (std::uint64_t i = 0; i < 200; ++i)
       for (unsigned k = 0; k < 4; ++k)
-        tracker.onCrash(RequestDigest(100 + i), life(1000 + i * 4 + k), Quick,
-                        Endpoints, Start);
+        tracker.onCrash(RequestDigest(100 + i), life(1000 + i * 4 + k),
+                        ShortAttempt, Endpoints, Start);
     tracker.judge(Start + seconds(1));
     TimePoint now = Start + seconds(60);
-    // What is new has been told by then.
+    // All first announcements are made by then.
     for (unsigned i = 0; i < 100; ++i)
       tracker.takeRows(entries, Start + seconds(1));
     std::size_t bytes = 0;
@@ -224,7 +236,8 @@
       LoadReport report{"n", {}, {tracker.takeRows(entries, now), {}}};
       bytes += encodeLoad(report).size() - encodeLoad({"n", {}, {}}).size();
     }
-    // A minute of one of them; all others tell as much.
+    // These are the bytes of one entry in a minute; every other entry sends as
+    // many.
     std::size_t perSecond = bytes * entries / 60;
     CHECK(perSecond <= 9000);
     CHECK(perSecond > 0);
