--- a/include/ospreyspur/Config/ConfigChange.h
+++ b/include/ospreyspur/Config/ConfigChange.h
@@ -24,23 +24,25 @@
   /// "workspaces", "services", "groups" or "events".
   std::string Section;
   std::string Name;
-  /// The object's new JSON; nothing deletes it.
+  /// The object's new JSON; without a value the object is deleted.
   std::optional<std::string> Body;
   /// Accept only if the object still has this tag.
   std::optional<std::string> IfMatch;
-  /// Names the change for good; tells whether it was accepted.
+  /// Unique id of the change; its presence in the audit entries shows that the
+  /// change was accepted.
   std::string ChangeId;
   std::string Operator;
   /// Seconds since 1970, for the audit entry.
   std::int64_t AtUnix = 0;
 };
 
-/// The document \p text with \p change made. Errors: ConfigInvalid,
-/// ConfigConflict, ConfigTooLarge, NotFound for a delete.
+/// Applies \p change to the document \p text and returns the new document.
+/// Errors: ConfigInvalid, ConfigConflict, ConfigTooLarge, NotFound for a
+/// delete.
 Result<std::string> applyChange(const std::string &text,
                                 const ConfigChange &change);
 
-/// Whether the document's audit entries name \p changeId.
+/// Whether the document's audit entries contain \p changeId.
 bool hasChange(const std::string &text, const std::string &changeId);
 
 /// An object of the document as JSON. Errors: NotFound.
--- a/include/ospreyspur/Config/ConfigDocument.h
+++ b/include/ospreyspur/Config/ConfigDocument.h
@@ -1,9 +1,9 @@
-//===- ConfigDocument.h - what operators configure --------------*- C++ -*-===//
+//===- ConfigDocument.h - operator configuration ----------------*- C++ -*-===//
 //
-// The one document that holds workspaces, services, groups and events with
-// their labels, and the latest audit entries. It lives under one key of the
-// platform's service, so that a change and its audit entry are stored together
-// or not at all.
+// The document that holds workspaces, services, groups and events with their
+// labels, and the latest audit entries. The whole document is the value of one
+// key of the key-value store, so that a change and its audit entry are stored
+// atomically.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,11 +22,11 @@
 
 namespace ospreyspur {
 
-/// The platform's keys that the control side follows.
+/// Keys of the key-value store that the control plane follows.
 inline constexpr std::string_view ConfigKey = "ospreyspur/config";
 inline constexpr std::string_view HostsKey = "platform/hosts";
 
-/// Largest document that is accepted; the platform's values end at 1 MB.
+/// Largest document that is accepted; the store limits values to 1 MB.
 inline constexpr std::size_t MaxConfigBytes = 900U << 10U;
 /// Audit entries kept in the document.
 inline constexpr std::size_t MaxAuditEntries = 64;
@@ -46,14 +46,15 @@
   Labels OwnLabels;
 };
 
-/// An announced moment and what it covers.
+/// A scheduled period during which the selected workspaces have a higher
+/// priority.
 struct EventConfig {
   /// Seconds since 1970, UTC.
   std::int64_t StartUnix = 0;
   std::uint32_t DurationSeconds = 0;
   /// Selects workspaces by their labels; see Selector.h for the grammar.
   std::string Selector;
-  /// Priority of the workspaces that it covers, while it is in force.
+  /// Priority of the selected workspaces while the event is in force.
   std::uint32_t Priority = 1;
   Labels OwnLabels;
 };
@@ -75,7 +76,8 @@
   std::vector<AuditEntry> Audit;
 };
 
-/// Reads a document. Errors: ConfigInvalid with the place, ConfigTooLarge.
+/// Parses a document. Errors: ConfigInvalid, whose detail names the field, and
+/// ConfigTooLarge.
 Result<ConfigDocument> parseConfig(std::string_view text);
 
 /// \p document as JSON; parseConfig() reads it back.
@@ -85,8 +87,9 @@
 /// PlatformBadAnswer.
 Result<std::vector<EndpointView>> parseHosts(std::string_view text);
 
-/// What traffic threads need of \p document and \p endpoints, with the
-/// priorities of \p nowUnix, in seconds since 1970.
+/// Builds the snapshot that traffic threads route by from \p document and
+/// \p endpoints, with the workspace priorities in force at \p nowUnix, in
+/// seconds since 1970.
 RoutingSnapshot makeSnapshot(const ConfigDocument &document,
                              const std::vector<EndpointView> &endpoints,
                              std::int64_t nowUnix);
--- a/include/ospreyspur/Config/ConfigWriter.h
+++ b/include/ospreyspur/Config/ConfigWriter.h
@@ -1,8 +1,8 @@
-//===- ConfigWriter.h - gets a change accepted, or says why not -*- C++ -*-===//
+//===- ConfigWriter.h - commits one configuration change --------*- C++ -*-===//
 //
-// The state machine of one change: read, apply, compare-and-swap. A change that
-// lost the race is applied anew to the newer document; one whose answer was
-// lost is looked up by its id.
+// The state machine of one change: read, apply, compare-and-swap. After a
+// conflict the change is applied again to the newer document. If the reply to
+// the write was lost, the change's id is looked up in the audit entries.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,15 +18,16 @@
 
 namespace ospreyspur {
 
-/// Makes one change.
+/// Commits one change to the configuration document.
 class ConfigWriter {
 public:
-  /// Wait, then ask for the next step.
+  /// Wait for Span, then call next() again.
   struct Pause {
     Duration Span;
   };
-  /// The change's end: Ok and its revision, or why it was not accepted.
-  /// ConfigUnknownFate: it may have been; ask again with the same change id.
+  /// The result of the change: Ok and its revision, or why the change was not
+  /// accepted. ConfigUnknownFate: the change may have been accepted; submit it
+  /// again with the same change id to find out.
   struct Done {
     Error Outcome;
     Revision At;
@@ -37,10 +38,10 @@
   ConfigWriter(ConfigChange change, TimePoint deadline)
       : Change(std::move(change)), Deadline(deadline) {}
 
-  /// What to do now. After a call, first hand in its answer.
+  /// The next step. The reply to a call must be passed to onReply() first.
   Step next(TimePoint now);
 
-  /// The answer to the call that next() gave.
+  /// Takes the reply to the call that next() returned.
   void onReply(const KvReply &reply);
 
 private:
@@ -55,7 +56,7 @@
   Stage Now = Stage::Reading;
   Revision ReadAt;
   std::string NextDocument;
-  /// Whether a write was sent whose fate is not known.
+  /// Whether a write was sent and may or may not have taken effect.
   bool IsInDoubt = false;
   Done Result;
 };
--- a/include/ospreyspur/Config/EventSchedule.h
+++ b/include/ospreyspur/Config/EventSchedule.h
@@ -1,7 +1,7 @@
-//===- EventSchedule.h - what events do at a moment -------------*- C++ -*-===//
+//===- EventSchedule.h - priorities raised by events ------------*- C++ -*-===//
 //
-// Events have a fixed start and raise the priority of the workspaces that their
-// selectors cover, from their start to their end.
+// An event raises the priority of the workspaces that its selector matches,
+// from its fixed start time to its end.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,12 +15,12 @@
 
 namespace ospreyspur {
 
-/// The priority of a workspace with \p labels at \p nowUnix: the highest of the
-/// events in force that cover it, 0 without one.
+/// The priority of a workspace with \p labels at \p nowUnix: the highest among
+/// the events in force whose selectors match, or 0 if there is none.
 std::uint32_t findPriority(const ConfigDocument &document, const Labels &labels,
                            std::int64_t nowUnix);
 
-/// When an event next starts or ends after \p nowUnix, in seconds since 1970.
+/// The first start or end of an event after \p nowUnix, in seconds since 1970.
 std::optional<std::int64_t> findNextEventChange(const ConfigDocument &document,
                                                 std::int64_t nowUnix);
 
--- a/include/ospreyspur/Config/GossipActions.h
+++ b/include/ospreyspur/Config/GossipActions.h
@@ -1,6 +1,6 @@
-//===- GossipActions.h - what a GossipNode wants done -----------*- C++ -*-===//
+//===- GossipActions.h - outputs of a GossipNode ----------------*- C++ -*-===//
 //
-// The outputs of the state machine that spreads shared values.
+// The actions that the gossip state machine requests from its caller.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,7 @@
 
 namespace ospreyspur {
 
-/// Send a digest to the agent of \c To; answers come back on the same link.
+/// Send a digest to the agent of \c To; replies arrive on the same link.
 struct SendDigestTo {
   EndpointId To;
   GossipDigest Body;
@@ -27,19 +27,19 @@
   GossipUpdate Body;
 };
 
-/// Answer a node that has dialled this one.
+/// Send a digest in reply on a link that another node opened.
 struct AnswerDigest {
   LinkId To;
   GossipDigest Body;
 };
 
-/// Send a value to a node that has dialled this one.
+/// Send a value on a link that another node opened.
 struct AnswerUpdate {
   LinkId To;
   GossipUpdate Body;
 };
 
-/// Make a call on the platform's service.
+/// Make a call to the key-value store.
 struct CallPlatformForGossip {
   KvRequest Request;
 };
--- a/include/ospreyspur/Config/GossipMessages.h
+++ b/include/ospreyspur/Config/GossipMessages.h
@@ -1,6 +1,7 @@
-//===- GossipMessages.h - how copies of shared values spread ----*- C++ -*-===//
+//===- GossipMessages.h - gossip digests and updates ------------*- C++ -*-===//
 //
-// Nodes compare what they have by digests and hand on newer values by updates.
+// Nodes compare their copies of the shared values with digests and send newer
+// values with updates.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +17,7 @@
 
 namespace ospreyspur {
 
-/// The platform's values that every node has a copy of.
+/// Values of the key-value store that every node has a copy of.
 enum class SharedKey : std::uint8_t {
   /// The operators' configuration document.
   Config,
@@ -28,19 +29,20 @@
 inline constexpr std::array<SharedKey, SharedKeyCount> SharedKeys = {
     SharedKey::Config, SharedKey::Hosts};
 
-/// What a node has of one key.
+/// Revision and age of a node's copy of one key.
 struct CopyState {
-  /// 0 before the first value.
+  /// 0 until the node has a value.
   Revision At;
-  /// Time since the platform's service is known to have held this revision.
+  /// Time since the key-value store was last known to hold this revision.
   Duration Age{};
 };
 
-/// What a node has of all keys, in the order of SharedKeys.
+/// The states of all of a node's copies, in the order of SharedKeys.
 struct GossipDigest {
   std::array<CopyState, SharedKeyCount> Copies;
-  /// In a question: whether the sender wants updates as they come, until it is
-  /// silent for a while. In an answer: whether the receiver gets them.
+  /// In a request: whether the sender subscribes to updates; the subscription
+  /// ends after GossipLimits::SubscriptionTime without another such digest. In
+  /// a reply: whether the receiver is subscribed.
   bool IsSubscription = false;
 };
 
--- a/include/ospreyspur/Config/GossipNode.h
+++ b/include/ospreyspur/Config/GossipNode.h
@@ -1,14 +1,15 @@
-//===- GossipNode.h - spreads the platform's values -------------*- C++ -*-===//
+//===- GossipNode.h - gossip of the shared values ---------------*- C++ -*-===//
 //
 // The state machine that keeps a node's copies of the configuration and the
-// host list new, without every node asking the platform. Two agents in each
-// data centre watch the platform; the others subscribe to one another along a
-// tree that each node derives from the host list. Every node also compares
-// itself with a random peer now and then, so that a broken tree only costs
-// time, and a node whose copies nobody has confirmed for a while asks the
-// platform itself.
+// host list current without every node polling the key-value store. A few nodes
+// of each data centre (GossipLimits::WatchersPerDataCentre) watch the store.
+// The other nodes subscribe to one another along a tree that each node derives
+// from the host list. Every node also exchanges digests with a random peer in
+// most rounds, so that a broken tree delays updates but does not lose them. A
+// node whose copies were not confirmed for GossipLimits::MaxAge reads the store
+// itself.
 //
-// Copies carry the platform's revision, and only a higher one is ever taken.
+// Copies carry the store's revision; a copy is replaced only by a higher one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,84 +32,85 @@
 
 namespace ospreyspur {
 
-/// Times and sizes of the spread.
+/// Intervals and limits of the gossip.
 struct GossipLimits {
-  /// Between two digests to the same peers.
+  /// Time between two rounds of digests.
   Duration Interval = std::chrono::seconds(1);
-  /// The same, until the node is ready.
+  /// Time between two rounds until the node is ready.
   Duration StartInterval = std::chrono::milliseconds(200);
-  /// How long the service may hold a watch.
+  /// How long the key-value store may hold a watch.
   Duration WatchWait = std::chrono::seconds(1);
-  /// The watchers of a data centre may share that out: then each holds its
-  /// watches for as many times this, if that is longer. What one of them misses
-  /// the others hand on with their digests.
+  /// Lets the watchers of a data centre share the watching: each waits for this
+  /// time multiplied by the number of watchers if that exceeds WatchWait. A
+  /// change that one watcher misses arrives with the digests of the others.
   Duration WatchWaitShare{};
-  /// A copy not confirmed for this long, plus a random part, is asked for at
-  /// the service.
+  /// A copy that was not confirmed for this time plus a random part of
+  /// MaxAgeSpread is read from the key-value store.
   Duration MaxAge = std::chrono::seconds(4);
   Duration MaxAgeSpread = std::chrono::seconds(2);
-  /// A subscription ends when its subscriber has been silent for this long.
+  /// A subscription ends after this time without a subscribing digest.
   Duration SubscriptionTime = std::chrono::milliseconds(3500);
-  /// Children of one agent in the tree.
+  /// Number of children of one agent in the tree.
   std::size_t FanOut = 3;
-  /// Subscribers that an agent takes; others go on to the next agent.
+  /// Subscribers that an agent accepts; further nodes try the next agent.
   std::size_t MaxSubscribers = 3;
   std::size_t WatchersPerDataCentre = 2;
-  /// Digests without an answer before another agent is subscribed to.
+  /// Digests without a reply after which a node subscribes to another agent.
   unsigned MaxMisses = 2;
-  /// One random peer in so many is in another data centre.
+  /// A node that is not a watcher picks one random peer in so many from another
+  /// data centre; a watcher picks all of them there.
   unsigned FarPeerOneIn = 10;
-  /// Peers that must have answered before copies that did not come from the
-  /// service count as good enough to start with.
+  /// Peers that must have replied before copies that did not come from the
+  /// store are recent enough to start with.
   std::size_t PeersToStart = 3;
   FollowerLimits Follower;
 };
 
-/// Who a node is among its peers.
+/// Identity of a node among its peers.
 struct GossipIdentity {
-  /// The endpoint of an agent; empty for an entry, which nobody dials.
+  /// The endpoint of an agent; empty for an entry, to which no node connects.
   EndpointId Endpoint;
   DataCentreId DataCentre;
-  /// The platform's keys of the shared values.
+  /// Keys of the shared values in the key-value store.
   std::array<std::string, SharedKeyCount> Keys = {std::string(ConfigKey),
                                                   std::string(HostsKey)};
 };
 
-/// Keeps one node's copies new.
+/// Keeps one node's copies of the shared values current.
 class GossipNode {
 public:
-  /// \p seed feeds the choice of peers; entries with other seeds subscribe to
-  /// other agents.
+  /// \p seed determines the random choice of peers; entries with different
+  /// seeds subscribe to different agents.
   GossipNode(GossipIdentity self, GossipLimits limits, std::uint64_t seed);
 
-  // Commands: each takes one input and gives the actions that follow.
+  // Commands: each takes one input and returns the resulting actions.
 
-  /// The agents that can be dialled, as last known.
+  /// Replaces the list of agents that this node can connect to.
   void setPeers(const std::vector<EndpointView> &peers);
-  /// Does what is due at \p now; call once to start.
+  /// Performs the work that is due at \p now; call once to start.
   GossipActions onTimer(TimePoint now);
-  /// The platform's answer to CallPlatformForGossip; a second one is ignored.
+  /// Takes the reply to a CallPlatformForGossip; a second reply is ignored.
   GossipActions onKvReply(KvCallId id, const KvReply &reply, TimePoint now);
-  /// A message on a link that another node has dialled.
+  /// Takes a message on a link that another node opened.
   GossipActions onMessage(LinkId from, const GossipDigest &digest,
                           TimePoint now);
   GossipActions onMessage(LinkId from, const GossipUpdate &update,
                           TimePoint now);
-  /// A message on the link that this node has dialled to the agent of \p from.
+  /// Takes a message on the link that this node opened to the agent of \p from.
   GossipActions onAnswer(const EndpointId &from, const GossipDigest &digest,
                          TimePoint now);
   GossipActions onAnswer(const EndpointId &from, const GossipUpdate &update,
                          TimePoint now);
-  /// The link that another node had dialled is gone.
+  /// Ends the subscription of a link that another node opened and that closed.
   void onLinkDown(LinkId link) { Subscribers.erase(link); }
 
   // Queries.
 
-  /// When onTimer() is next needed.
+  /// When onTimer() must be called next.
   TimePoint nextTimer() const;
-  /// Whether both copies are good enough to start with.
+  /// Whether both copies are recent enough to start with.
   bool isReady() const;
-  /// Whether this node is one of its data centre's watchers of the platform.
+  /// Whether this node is one of its data centre's watchers of the store.
   bool isWatcher() const;
   /// The copy of \p key.
   const KeyFollower &copy(SharedKey key) const;
@@ -131,19 +133,20 @@
   GossipIdentity Self;
   GossipLimits Limits;
   std::mt19937_64 Random;
-  /// Where an entry stands among the tree's leaves.
+  /// Random number that determines which leaf of the tree an entry subscribes
+  /// to.
   std::uint64_t LeafNumber;
-  /// The part of MaxAgeSpread that this node adds.
+  /// The random part of MaxAgeSpread that this node adds to MaxAge.
   Duration OwnSpread;
   std::array<KeyFollower, SharedKeyCount> Copies;
-  /// The tree's order in this node's data centre, without leaving agents.
+  /// Agents of this node's data centre in tree order, without leaving ones.
   std::vector<EndpointId> Order;
   std::vector<EndpointId> FarPeers;
   std::optional<std::size_t> OwnPlace;
   std::map<LinkId, TimePoint> Subscribers;
   std::set<EndpointId> Answered;
-  /// How far this node has moved from its parent in the tree, as agents were
-  /// silent or had enough subscribers.
+  /// Number of agents skipped because they did not reply or had no free
+  /// subscription.
   std::size_t ParentShift = 0;
   unsigned Misses = 0;
   std::optional<EndpointId> Parent;
--- a/include/ospreyspur/Config/KeyFollower.h
+++ b/include/ospreyspur/Config/KeyFollower.h
@@ -1,9 +1,9 @@
-//===- KeyFollower.h - follows one key of the platform ----------*- C++ -*-===//
+//===- KeyFollower.h - follows one key of the key-value store ---*- C++ -*-===//
 //
-// The state machine that keeps a copy of one value: asks the service for a
-// newer revision, takes values from peers too, and takes a value only if its
-// revision is higher than the one it has. An outage costs freshness, never the
-// copy.
+// The state machine that keeps a copy of one value. It watches the key-value
+// store for a newer revision and also accepts values from peers; a value
+// replaces the copy only if its revision is higher. During an outage of the
+// store the copy is kept and only ages.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,18 +18,19 @@
 
 namespace ospreyspur {
 
-/// Pauses of a follower.
+/// Delays of a follower.
 struct FollowerLimits {
-  /// After failures of the service.
+  /// Bounds of the exponential backoff after failures of the store.
   Duration MinPause = std::chrono::milliseconds(200);
   Duration MaxPause = std::chrono::seconds(5);
-  /// News that come one after the other are gathered for this time before the
-  /// service is asked again: when a fleet starts or is replaced, every row
-  /// would wake every watcher (204 rows times 40 watchers are two thirds of a
-  /// calm day's 11,400 calls). A tenth of the shortest time in which what
-  /// leaves has to be known.
+  /// Updates in quick succession are coalesced: the store is not called again
+  /// for this time. Otherwise, when a fleet starts or is replaced, every record
+  /// would wake every watcher (204 records times 40 watchers are two thirds of
+  /// the 11,400 calls of a calm day). The delay is a tenth of the shortest time
+  /// within which a leaving endpoint must be known.
   Duration Gather = std::chrono::milliseconds(200);
-  /// News after a longer quiet stand alone and are followed at once.
+  /// An update that follows the previous one by at least this time is not part
+  /// of a burst; the store is called again at once.
   Duration Apart = std::chrono::seconds(1);
 };
 
@@ -39,33 +40,34 @@
   KeyFollower(std::string key, FollowerLimits limits)
       : Key(std::move(key)), Limits(limits) {}
 
-  /// The call to make now, if none is out and no pause is on. The service may
-  /// hold it for \p wait; zero asks once.
+  /// The call to make now, unless one is in flight or a delay has not passed.
+  /// The store may hold the call for \p wait; with zero it replies at once.
   std::optional<KvCall> nextCall(Duration wait, TimePoint now);
 
-  /// Takes the answer to nextCall(). True if the copy changed.
+  /// Takes the reply to the call of nextCall(). True if the copy changed.
   bool onReply(const KvReply &reply, TimePoint now);
 
-  /// Takes a value from a peer; the service is known to have held it at
-  /// \p confirmed. True if it was newer.
+  /// Takes a value from a peer; the store is known to have held the value at
+  /// \p confirmed. True if the value was newer than the copy.
   bool offer(Revision at, const std::string &value, TimePoint confirmed);
 
-  /// The service is known to have held revision \p at at \p confirmed.
+  /// Records that the store held revision \p at at the time \p confirmed.
   void confirm(Revision at, TimePoint confirmed);
 
-  /// When nextCall() has a call after news were gathered, if they are.
+  /// When nextCall() may return a call after coalesced updates; no value while
+  /// no updates are being coalesced.
   std::optional<TimePoint> gatheredAt() const { return GatherUntil; }
-  /// When nextCall() may have a call after a pause.
+  /// When nextCall() may return a call after a failure.
   TimePoint resumeAt() const { return PausedUntil; }
   /// When the last call was made.
   TimePoint askedAt() const { return AskedAt; }
-  /// Whether the service itself has answered at least once.
+  /// Whether the store itself has replied at least once.
   bool hasReadService() const { return HasReadService; }
-  /// The copy's revision; 0 before the first value.
+  /// The copy's revision; 0 until there is a value.
   Revision revision() const { return At; }
   /// The copy.
   const std::string &value() const { return Value; }
-  /// When the service last was known to hold the copy's revision.
+  /// When the store was last known to hold the copy's revision.
   TimePoint confirmedAt() const { return Confirmed; }
 
 private:
@@ -78,14 +80,15 @@
   TimePoint Confirmed;
   TimePoint AskedAt;
   Revision AskedFor;
-  /// Where the service's watch goes on; at or above the copy's revision.
+  /// The revision after which the next watch continues; after a reply of the
+  /// store it may be above the copy's revision.
   Revision SeenAt;
   bool IsWaiting = false;
   bool HasReadService = false;
   TimePoint PausedUntil;
-  /// When the service last had something new.
+  /// When the store last returned a newer value.
   std::optional<TimePoint> NewsAt;
-  /// News are gathered until then.
+  /// End of the delay during which updates are coalesced.
   std::optional<TimePoint> GatherUntil;
   Duration Pause{};
 };
--- a/include/ospreyspur/Config/Selector.h
+++ b/include/ospreyspur/Config/Selector.h
@@ -1,8 +1,9 @@
-//===- Selector.h - chooses objects by their labels -------------*- C++ -*-===//
+//===- Selector.h - selects objects by their labels -------------*- C++ -*-===//
 //
 // A selector is a list of requirements, separated by commas, that must all
 // hold: "key=value", "key!=value", "key in (a, b)", "key notin (a, b)", "key"
-// (has it), "!key" (has it not). The empty selector matches everything.
+// (the label exists), "!key" (the label does not exist). The empty selector
+// matches every object.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,17 +28,18 @@
 /// A parsed selector.
 class Selector {
 public:
-  /// Reads a selector. Errors: ConfigInvalid, with the requirement at fault.
+  /// Parses a selector. Errors: ConfigInvalid, with the invalid requirement.
   static Result<Selector> parse(std::string_view text);
 
   /// Whether every requirement holds for \p labels.
   bool matches(const Labels &labels) const;
 
 private:
-  /// One requirement: the label's value is one of Values, or not.
+  /// One requirement: the label's value is one of Values, or is none of them if
+  /// IsNegated.
   struct Requirement {
     std::string Key;
-    /// Empty: only the key's presence counts.
+    /// If empty, the requirement is that the key is present.
     std::set<std::string> Values;
     bool IsNegated = false;
   };
--- a/include/ospreyspur/Config/Settings.h
+++ b/include/ospreyspur/Config/Settings.h
@@ -1,7 +1,7 @@
-//===- Settings.h - the settings of each role -------------------*- C++ -*-===//
+//===- Settings.h - settings of each program --------------------*- C++ -*-===//
 //
-// Typed settings, read once at start from an INI file. What operators change at
-// run time is in the configuration document instead.
+// Typed settings, read once at start from an INI file. Values that operators
+// change at run time are in the configuration document instead.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,16 +20,17 @@
 
 class SettingsReader;
 
-/// What both roles need.
+/// Settings that `ospreyspur entry` and `ospreyspur agent` share.
 struct CommonSettings {
   std::string DataCentre;
-  /// The platform's key-value service.
+  /// Address of the key-value store.
   std::string PlatformAddress;
-  /// Agents to learn the shared values from when the platform is out at start.
+  /// Agents to get the shared values from if the key-value store is down at
+  /// start.
   std::vector<std::string> Peers;
-  /// Admin API and metrics.
+  /// Address of the admin API and the metrics.
   std::string AdminListen;
-  /// SHA-256 of the first operator's token, in hex; empty: none.
+  /// SHA-256 of the first operator's token, in hex; empty for no token.
   std::string AdminTokenHash;
   /// How long a planned stop is announced before new work is refused.
   Duration StopNotice{};
@@ -43,7 +44,7 @@
   std::string Listen;
   Duration DefaultDeadline{};
   EntryLimits Limits;
-  /// Under which requests are digested; the same at all entries.
+  /// HMAC key of the request digests; must be the same at all entries.
   std::string DigestKey;
 };
 
@@ -51,13 +52,13 @@
 struct AgentSettings {
   CommonSettings Common;
   std::string EndpointName;
-  /// For entries and other agents.
+  /// Address for links from entries and other agents.
   std::string Listen;
   /// The endpoint's HTTP address.
   std::string EndpointAddress;
   /// The lock-step group that the endpoint belongs to; empty for none.
   std::string Group;
-  /// The measures of the group's maps; one rank for each member if 0.
+  /// Dimensions of the group's expert maps; one rank for each member if 0.
   MapShape Shape;
   PlannerWeights Weights;
   Duration PlanInterval{};
@@ -67,69 +68,71 @@
 
 /// Settings of `ospreyspur direct`.
 struct DirectSettings {
-  /// The file that they came from.
+  /// The file that the settings were read from.
   std::string File;
   std::string Name;
   std::string DataCentre;
   std::string PlatformAddress;
-  /// Processes to learn the shared values from before the store answers.
+  /// Addresses of processes to get the shared values from until the key-value
+  /// store has listed other processes.
   std::vector<std::string> Peers;
-  /// Callers' requests.
+  /// Address for callers' requests.
   std::string Listen;
-  /// Where the platform asks whether this process is ready.
+  /// Address for the platform's readiness checks.
   std::string ReadyListen;
-  /// Links from the other processes.
+  /// Address for links from the other processes.
   std::string LinkListen;
-  /// First and last port for what the processes say to each other.
+  /// First and last port for connections between the processes.
   std::string PeerPorts;
-  /// Metrics; empty: none.
+  /// Address of the metrics; empty for no metrics.
   std::string MetricsListen;
   /// How long a planned stop may take.
   Duration StopLimit{};
   Duration StopNotice{};
   RetryBounds Retries;
-  /// Under which requests are digested; the same at all entries.
+  /// HMAC key of the request digests; must be the same at all entries.
   std::string DigestKey;
 
-  /// Load reports from the other entries: the first of the peer ports, on the
-  /// host of the links.
+  /// Address for load reports from the other entries: the host of LinkListen
+  /// with the first of the peer ports.
   std::string loadListen() const;
 };
 
-/// Reads the direct path's settings; faults are in \p reader afterwards.
+/// Reads the direct path's settings; errors are collected in \p reader.
 DirectSettings readDirectSettings(SettingsReader &reader);
 
 /// Settings of `ospreyspur rank`.
 struct RankSettings {
-  /// The file that they came from.
+  /// The file that the settings were read from.
   std::string File;
   std::string Name;
   std::string PlatformAddress;
-  /// This process's IP number.
+  /// This process's IP address.
   std::string Host;
-  /// First and last port for what the processes say to each other.
+  /// First and last port for connections between the processes.
   std::string PeerPorts;
-  /// Metrics; empty: none.
+  /// Address of the metrics; empty for no metrics.
   std::string MetricsListen;
   /// The rank's HTTP address.
   std::string EndpointAddress;
   std::string Service;
-  /// What this host's network link carries, in Mbit/s.
+  /// Bandwidth of this host's network link, in Mbit/s.
   double LinkMbps = 0;
   /// Whether ranks refuse an order whose fencing token is lower than one seen.
   bool ChecksFences = true;
 
-  /// Links from the other agents: the first of the peer ports.
+  /// Address for links from the other agents: Host with the first of the peer
+  /// ports.
   std::string linkListen() const;
 };
 
-/// Reads a rank agent's settings; faults are in \p reader afterwards.
+/// Reads a rank agent's settings; errors are collected in \p reader.
 RankSettings readRankSettings(SettingsReader &reader);
 
-/// Reads an entry's settings; faults are in \p reader afterwards.
+/// Reads an entry's settings; errors are collected in \p reader.
 EntrySettings readEntrySettings(SettingsReader &reader);
 
-/// Reads an agent's settings; faults are in \p reader afterwards.
+/// Reads an agent's settings; errors are collected in \p reader.
 AgentSettings readAgentSettings(SettingsReader &reader);
 
 /// Every key of both roles as rows of a Markdown table.
--- a/include/ospreyspur/Config/SettingsReader.h
+++ b/include/ospreyspur/Config/SettingsReader.h
@@ -1,7 +1,8 @@
-//===- SettingsReader.h - checked reading of an INI file --------*- C++ -*-===//
+//===- SettingsReader.h - checked reading of INI files ----------*- C++ -*-===//
 //
 // Reads settings by name, with a default and a range for each, and collects
-// every error with file, line and key. A key that nobody read is an error too.
+// every error with file, line and key. A key in the file that the program does
+// not read is also an error.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,20 +20,20 @@
 
 namespace ospreyspur {
 
-/// One fault in a settings file.
+/// One error in a settings file.
 struct SettingError {
   ResultCode Code = ResultCode::Ok;
   std::string File;
-  /// From 1; 0 if the fault belongs to no line.
+  /// Line number from 1, or 0 if the error belongs to no line.
   unsigned Line = 0;
   std::string Key;
   std::string Detail;
 };
 
-/// \p error as "file:line: error 5004: key: detail".
+/// Formats \p error as "file:line: error 5004: key: detail".
 std::string toString(const SettingError &error);
 
-/// What a key may hold, for the documentation.
+/// Documentation of one key.
 struct SettingDoc {
   std::string Key;
   std::string Default;
@@ -56,14 +57,14 @@
   /// An "ip:port" that may be absent.
   std::string readAddress(const std::string &key, const std::string &def,
                           const std::string &help);
-  /// "ip:port" entries with commas between them; may be absent.
+  /// A comma-separated list of "ip:port" that may be absent.
   std::vector<std::string> readAddresses(const std::string &key,
                                          const std::string &help);
   /// A whole number from \p min to \p max.
   std::uint64_t readNumber(const std::string &key, std::uint64_t def,
                            std::uint64_t min, std::uint64_t max,
                            const std::string &help);
-  /// A time in milliseconds; the key must end in "_ms".
+  /// A duration in milliseconds; the key must end in "_ms".
   Duration readMillis(const std::string &key, Duration def, Duration min,
                       Duration max, const std::string &help);
 
@@ -74,7 +75,7 @@
   /// "true" or "false".
   bool readFlag(const std::string &key, bool def, const std::string &help);
 
-  /// Call after all reads: adds an error for each key that was not read.
+  /// Adds an error for each key that was not read; call after all reads.
   void finish();
 
   const std::string &file() const { return File; }
--- a/include/ospreyspur/Control/ControlPlane.h
+++ b/include/ospreyspur/Control/ControlPlane.h
@@ -1,7 +1,8 @@
-//===- ControlPlane.h - the control thread of a process ---------*- C++ -*-===//
+//===- ControlPlane.h - control thread of a process -------------*- C++ -*-===//
 //
-// Keeps the configuration and the host list new with a GossipNode and hands
-// immutable snapshots to the traffic side. Entries and agents both have one.
+// Keeps the configuration and the host list current with a GossipNode and
+// passes immutable snapshots to the traffic threads. Entries and agents both
+// have a control plane.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,39 +24,39 @@
 
 namespace ospreyspur {
 
-/// What the control plane needs of its process; called on the control thread.
+/// Callbacks of the control plane; called on the control thread.
 struct ControlHandlers {
-  /// There is a new snapshot.
+  /// Receives each new snapshot.
   std::function<void(std::shared_ptr<const RoutingSnapshot>)> OnSnapshot;
-  /// Answer another node on the link that it has dialled.
+  /// Sends a message on a link that another node opened.
   std::function<void(LinkId, const Message &)> Answer;
 };
 
-/// Follows the platform's values on the control thread.
+/// Follows the shared values on the control thread.
 class ControlPlane {
 public:
-  /// \p peers are the addresses of agents to start from; \p seed feeds the
-  /// choice of peers.
+  /// \p peers are the addresses of agents to use until the host list is known;
+  /// \p seed determines the random choice of peers.
   ControlPlane(boost::asio::io_context &ioc, PlatformClient &platform,
                const GossipIdentity &self,
                const std::vector<std::string> &peers, std::uint64_t seed,
                ControlHandlers handlers);
 
-  /// Begins to follow.
+  /// Starts following the shared values.
   void start();
 
-  /// A message on a link that another node has dialled.
+  /// Takes a message on a link that another node opened.
   void onMessage(LinkId from, const Message &message);
-  /// The link that another node had dialled is gone.
+  /// Handles the closing of a link that another node opened.
   void onLinkDown(LinkId link) { Node.onLinkDown(link); }
 
-  /// Whether there is a snapshot: both values could be read and are good enough
-  /// to start with.
+  /// Whether a snapshot has been published: both values are readable and recent
+  /// enough to start with.
   bool isReady() const { return HasPublished; }
-  /// The revisions in force; a value that cannot be read never is.
+  /// The revisions in force; a value that cannot be parsed is not put in force.
   Revision configRevision() const { return ConfigInForce; }
   Revision hostsRevision() const { return HostsInForce; }
-  /// The configuration document as last read.
+  /// The text of the configuration document as last received.
   const std::string &configText() const;
   const ConfigDocument &document() const { return Document; }
   const std::vector<EndpointView> &endpoints() const { return Endpoints; }
@@ -81,7 +82,7 @@
   GossipNode Node;
   NodeTimer Timer;
   boost::asio::system_timer EventTimer;
-  /// 0 before the first value that could be read.
+  /// 0 until a value could be parsed.
   Revision ConfigInForce;
   Revision HostsInForce;
   bool HasPublished = false;
--- a/include/ospreyspur/Control/DirectControl.h
+++ b/include/ospreyspur/Control/DirectControl.h
@@ -1,8 +1,8 @@
 //===- DirectControl.h - control thread of the direct path ------*- C++ -*-===//
 //
-// Keeps the configuration, the endpoint list and the list of our processes new,
-// from the platform's store and from the other processes, and hands immutable
-// snapshots to the traffic side.
+// Keeps the configuration, the endpoint list and the list of Ospreyspur
+// processes current, from the key-value store and from the other processes, and
+// passes immutable snapshots to the traffic threads.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,14 +27,16 @@
 
 namespace ospreyspur {
 
-/// What the traffic side of the direct path needs, of one moment.
+/// The shared values that traffic threads of the direct path use, at one
+/// moment.
 struct DirectSnapshot {
   std::shared_ptr<const FleetConfig> Config;
   std::vector<ListedEndpoint> Endpoints;
   std::vector<NodeRecord> Nodes;
-  /// Whether the store has listed them.
+  /// Whether the key-value store has returned the list of processes.
   bool AreNodesListed = false;
-  /// Requests that were quarantined before this process began; once.
+  /// Requests that were quarantined before this process started. Contained only
+  /// in the first snapshot after they were read from the store.
   std::vector<RequestDigest> Restored;
 };
 
@@ -47,17 +49,18 @@
 public:
   using Handler = std::function<void(std::shared_ptr<const DirectSnapshot>)>;
 
-  /// \p seed feeds the choice of peers; \p onSnapshot runs on the control
-  /// thread.
+  /// \p seed determines the random choice of peers; \p onSnapshot runs on the
+  /// control thread.
   DirectControl(boost::asio::io_context &ioc, const DirectSettings &settings,
                 std::uint64_t seed, Handler onSnapshot);
 
-  /// Begins to follow. Errors: SettingInvalid.
+  /// Starts following the shared values. Errors: SettingInvalid.
   Result<void> start();
   /// Closes the links.
   void stop() { Server.stop(); }
 
-  /// What the traffic side has quarantined, and what it has cleared since.
+  /// Sets the requests that the traffic threads have quarantined, and those
+  /// that they have cleared since.
   void setQuarantine(std::vector<RequestDigest> quarantined,
                      const std::vector<RequestDigest> &cleared);
 
--- a/include/ospreyspur/Control/ListReader.h
+++ b/include/ospreyspur/Control/ListReader.h
@@ -1,7 +1,8 @@
 //===- ListReader.h - the endpoint list as one value ------------*- C++ -*-===//
 //
-// Follows the platform's rows of endpoints and answers like a single key whose
-// value is the whole list, so that it spreads between nodes like one.
+// Follows the endpoint records in the key-value store and presents them as a
+// single key whose value is the whole list, so that nodes can gossip the list
+// like any other shared value.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,13 +17,13 @@
 
 namespace ospreyspur {
 
-/// Reads the list on one io_context's thread.
+/// Reads the endpoint list on one io_context's thread.
 class ListReader {
 public:
   explicit ListReader(PlatformClient &platform) : Platform(platform) {}
 
-  /// Waits up to \p wait for a change of the list after the last answer. The
-  /// reply has the list as its value; NotFound: nothing changed.
+  /// Waits up to \p wait for a change of the list after the last reply. The
+  /// value of the reply is the whole list; NotFound means no change.
   boost::asio::awaitable<KvReply> ask(Duration wait, Duration timeout);
 
 private:
@@ -32,7 +33,7 @@
 
   PlatformClient &Platform;
   std::map<std::string, EndpointRecord> Rows;
-  /// Rows that could not be read and were logged.
+  /// Keys of unreadable records that have been logged.
   std::set<std::string> LoggedKeys;
   /// 0 before the first whole list and after its history was lost.
   Revision SeenAt;
--- a/include/ospreyspur/Control/QuarantineSync.h
+++ b/include/ospreyspur/Control/QuarantineSync.h
@@ -1,6 +1,6 @@
-//===- QuarantineSync.h - keeps the quarantine in the store -----*- C++ -*-===//
+//===- QuarantineSync.h - stores the quarantine -----------------*- C++ -*-===//
 //
-// The shell around QuarantineStore: calls on the platform and the timer.
+// Performs the key-value store calls and runs the timer of QuarantineStore.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,18 +16,20 @@
 
 namespace ospreyspur {
 
-/// Follows the stored quarantine on one io_context's thread.
+/// Keeps the stored quarantine up to date on one io_context's thread.
 class QuarantineSync {
 public:
   using Handler = std::function<void(std::vector<RequestDigest>)>;
 
-  /// \p onRestored gets what was stored before this process began.
+  /// \p onRestored receives the requests that were stored before this process
+  /// started.
   QuarantineSync(boost::asio::io_context &ioc, PlatformClient &platform,
                  std::uint64_t seed, Handler onRestored);
 
-  /// Begins to follow.
+  /// Starts reading and writing the stored quarantine.
   void start() { onTimer(); }
-  /// What this process has quarantined, and what it has cleared since.
+  /// Sets the requests that this process has quarantined, and those that it has
+  /// cleared since.
   void setOwn(std::vector<RequestDigest> quarantined,
               const std::vector<RequestDigest> &cleared);
 
--- a/include/ospreyspur/Platform/KeyValue.h
+++ b/include/ospreyspur/Platform/KeyValue.h
@@ -1,7 +1,8 @@
-//===- KeyValue.h - calls on the platform's key-value service ---*- C++ -*-===//
+//===- KeyValue.h - calls to the key-value store ----------------*- C++ -*-===//
 //
-// The calls and replies as the nodes see them. A reply of PlatformTimeout or
-// PlatformBadAnswer means that the call may have taken effect.
+// The calls and replies as the state machines use them. A reply of
+// PlatformTimeout or PlatformBadAnswer means that the call may have taken
+// effect.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +26,8 @@
 /// Reads a key.
 struct KvGet {
   std::string Key;
-  /// Whether an answer that is seconds old will do; it costs a tenth.
+  /// Whether a value that is seconds old is acceptable; such a read costs a
+  /// tenth of a consistent one.
   bool MayBeStale = false;
 };
 
@@ -34,11 +36,12 @@
   std::string Key;
   std::string Value;
   Revision Expected;
-  /// The key vanishes after this time without KvRenew; zero: never.
+  /// The store deletes the key after this time without KvRenew; with zero it
+  /// never does.
   Duration Lease{};
 };
 
-/// Starts the lease of a key anew if the key still has revision \c Holder.
+/// Renews the lease of a key if the key still has revision \c Holder.
 struct KvRenew {
   std::string Key;
   Revision Holder;
@@ -55,7 +58,8 @@
 /// Reads all keys that begin with \c Prefix.
 struct KvList {
   std::string Prefix;
-  /// Whether an answer that is seconds old will do; it costs a tenth.
+  /// Whether a list that is seconds old is acceptable; such a read costs a
+  /// tenth of a consistent one.
   bool MayBeStale = false;
 };
 
@@ -67,11 +71,11 @@
   Duration Wait{};
 };
 
-/// Any call on the service.
+/// Any call to the key-value store.
 using KvCall =
     std::variant<KvGet, KvPut, KvRenew, KvWatch, KvList, KvWatchList>;
 
-/// A call and the id that its reply will carry.
+/// A call and the id by which its reply is matched.
 struct KvRequest {
   KvCallId Id;
   KvCall Call;
@@ -80,23 +84,24 @@
 /// One key in a list, or one change of it.
 struct KvItem {
   std::string Key;
-  /// Its last change.
+  /// Revision of the key's last change.
   Revision At;
   std::string Value;
   bool IsRemoved = false;
 };
 
-/// The answer to a call.
+/// The reply to a call.
 struct KvReply {
-  /// Ok, NotFound, PlatformConflict (with the present value), PlatformRefused
-  /// (no effect), PlatformHistoryGone (read anew), PlatformTimeout or
-  /// PlatformBadAnswer (effect not known).
+  /// Ok, NotFound, PlatformConflict (with the current value), PlatformRefused
+  /// (the call had no effect), PlatformHistoryGone (the value must be read
+  /// again), PlatformTimeout or PlatformBadAnswer (the effect is unknown).
   ResultCode Code = ResultCode::Ok;
   Revision At;
   std::string Value;
-  /// The revision up to which the service has answered; a watch goes on here.
+  /// The revision up to which the reply covers changes; the next watch
+  /// continues after it.
   Revision SeenAt = Revision(0);
-  /// With KvList and KvWatchList.
+  /// Filled by KvList and KvWatchList.
   std::vector<KvItem> Items = {};
 };
 
--- a/include/ospreyspur/Platform/PlatformClient.h
+++ b/include/ospreyspur/Platform/PlatformClient.h
@@ -1,8 +1,8 @@
-//===- PlatformClient.h - the platform's service over HTTP ------*- C++ -*-===//
+//===- PlatformClient.h - HTTP client of the key-value store ----*- C++ -*-===//
 //
-// Makes the nodes' KvCalls; platform/StoreWire.h has their wire form. It
-// neither retries nor decides; that is for the nodes. It remembers the leases
-// under which it wrote.
+// Makes the KvCalls of the state machines; platform/StoreWire.h defines their
+// wire format. The client does not retry; the state machines decide whether to.
+// The client remembers the leases of the keys that it wrote.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,14 +19,14 @@
 
 namespace ospreyspur {
 
-/// A client of the platform's key-value service, for one io_context's thread.
+/// A client of the platform's key-value store, for one io_context's thread.
 class PlatformClient {
 public:
   using Handler = std::function<void(KvReply)>;
 
   PlatformClient(boost::asio::io_context &ioc, TcpAddress server);
 
-  /// Makes \p call and hands the answer to \p handler on the context's thread.
+  /// Makes \p call and passes the reply to \p handler on the context's thread.
   /// \p timeout does not include the wait of a watch.
   void call(KvCall call, Duration timeout, Handler handler);
 
@@ -36,7 +36,7 @@
 private:
   /// The lease of a key that this client wrote.
   struct HeldLease {
-    /// The key's revision then.
+    /// The key's revision after the client's write.
     Revision Holder;
     platform::StoreLease Lease;
   };
--- a/include/ospreyspur/Support/Address.h
+++ b/include/ospreyspur/Support/Address.h
@@ -1,6 +1,6 @@
-//===- Address.h - TCP addresses by IP numbers ------------------*- C++ -*-===//
+//===- Address.h - parsing of TCP addresses ---------------------*- C++ -*-===//
 //
-// Addresses are IP numbers; names are not resolved.
+// Addresses are numeric IP addresses; host names are not resolved.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,7 @@
 
 using TcpAddress = boost::asio::ip::tcp::endpoint;
 
-/// Reads "ip:port" or "[ipv6]:port". Errors: SettingInvalid.
+/// Parses "ip:port" or "[ipv6]:port". Errors: SettingInvalid.
 Result<TcpAddress> parseAddress(const std::string &text);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Support/Digest.h
+++ b/include/ospreyspur/Support/Digest.h
@@ -1,7 +1,7 @@
 //===- Digest.h - digests of texts ------------------------------*- C++ -*-===//
 //
-// SHA-256 as text where secrets are stored hashed and where long texts are
-// compared; short digests where something is known again by its content.
+// SHA-256 in hex for stored hashes of secrets and for comparing long texts, and
+// 64-bit digests for recognising something by its content.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,8 @@
 
 namespace ospreyspur {
 
-/// What makes a request the same to an endpoint: its caller, path and body.
+/// Identifies requests that are the same to an endpoint: a digest of caller,
+/// path and body.
 using RequestDigest = StrongType<struct RequestDigestTag, std::uint64_t>;
 
 /// The SHA-256 of \p text in lower-case hex.
@@ -26,15 +27,16 @@
 /// The first 64 bits of the SHA-256 of \p text.
 std::uint64_t digest64(std::string_view text);
 
-/// The first 64 bits of an HMAC-SHA256 under \p key over the digests of \p
-/// parts, so that no part can pass for the end of another.
+/// The first 64 bits of an HMAC-SHA256 with \p key over the digests of
+/// \p parts. Hashing the digests keeps apart lists of parts that differ only in
+/// where one part ends and the next begins.
 RequestDigest digestRequest(std::string_view key,
                             std::initializer_list<std::string_view> parts);
 
-/// \p it as 16 hex digits.
+/// Formats \p it as 16 hex digits.
 std::string toHex(RequestDigest it);
 
-/// The digest that toHex() wrote; 0 if \p text is none.
+/// Parses a digest that toHex() wrote; 0 if \p text is not one.
 RequestDigest requestDigestOf(std::string_view text);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Support/Ids.h
+++ b/include/ospreyspur/Support/Ids.h
@@ -1,6 +1,6 @@
-//===- Ids.h - ids shared by all areas --------------------------*- C++ -*-===//
+//===- Ids.h - identifier types ---------------------------------*- C++ -*-===//
 //
-// Names the ids that cross module borders. Each is a type of its own.
+// Identifiers that several modules share. Each has a distinct type.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,10 +24,10 @@
 using DataCentreId = StrongType<struct DataCentreIdTag, std::string>;
 /// Names a lock-step group of model endpoints.
 using GroupId = StrongType<struct GroupIdTag, std::string>;
-/// One life of a process; drawn at random when the process starts.
+/// One incarnation of a process; drawn at random when the process starts.
 using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
-/// Numbers the lives of an endpoint's process that one agent incarnation has
-/// seen end.
+/// Numbers the incarnations of an endpoint's process that one agent incarnation
+/// has seen exit.
 using EngineLife = StrongType<struct EngineLifeTag, std::uint64_t>;
 /// Numbers the tickets of one agent incarnation, from 1 up.
 using TicketSequence = StrongType<struct TicketSequenceTag, std::uint64_t>;
@@ -37,11 +37,11 @@
 using AttemptNumber = StrongType<struct AttemptNumberTag, std::uint32_t>;
 /// Identifies one connection between two of our processes at its receiver.
 using LinkId = StrongType<struct LinkIdTag, std::uint64_t>;
-/// A position in the platform's revision order; 0 means "absent".
+/// A position in the key-value store's revision order; 0 means "absent".
 using Revision = StrongType<struct RevisionTag, std::uint64_t>;
 
-/// Identifies one request for its whole life: the agent incarnation that issued
-/// its ticket, and the ticket's number there.
+/// Identifies one request for its whole lifetime: the agent incarnation that
+/// issued its ticket, and the ticket's number at that incarnation.
 struct RequestId {
   Incarnation Issuer;
   TicketSequence Sequence;
--- a/include/ospreyspur/Support/Metrics.h
+++ b/include/ospreyspur/Support/Metrics.h
@@ -1,7 +1,7 @@
-//===- Metrics.h - counters and distributions -------------------*- C++ -*-===//
+//===- Metrics.h - counters, gauges and distributions -----------*- C++ -*-===//
 //
-// Collects what a process measures of itself and writes it as text that usual
-// scrapers read. Distributions are kept by Boost.Accumulators.
+// Collects the metrics of a process and formats them as text for metric
+// scrapers. Distributions are kept by Boost.Accumulators.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,17 +22,17 @@
   Metrics();
   ~Metrics();
 
-  /// Adds \p n to the counter \p name. Labels, if any, stand in the name:
+  /// Adds \p n to the counter \p name. Labels, if any, are part of the name:
   /// `requests_total{outcome="complete"}`.
   void count(const std::string &name, std::uint64_t n = 1);
 
   /// Sets the gauge \p name.
   void set(const std::string &name, double value);
 
-  /// Adds a time to the distribution \p name.
+  /// Adds a duration to the distribution \p name.
   void observe(const std::string &name, Duration value);
 
-  /// All metrics, one a line.
+  /// All metrics as text, one value on each line.
   std::string text() const;
 
 private:
--- a/include/ospreyspur/Support/Result.h
+++ b/include/ospreyspur/Support/Result.h
@@ -1,6 +1,7 @@
 //===- Result.h - a value or a numbered error -------------------*- C++ -*-===//
 //
-// The return type of fallible functions: Boost.Outcome with our error type.
+// The return type of functions that can fail: Boost.Outcome with Error as its
+// error type.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,13 +16,14 @@
 
 namespace ospreyspur {
 
-/// A numbered error and a lower-case sentence that says what went wrong.
+/// A numbered error and a lower-case sentence that describes it.
 struct Error {
   ResultCode Code = ResultCode::Ok;
   std::string Detail;
 };
 
-/// A \p T, or an Error. Reading the wrong side throws bad_result_access.
+/// A \p T or an Error. Accessing the one that is absent throws
+/// bad_result_access.
 template <typename T> using Result = boost::outcome_v2::checked<T, Error>;
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Support/ResultCode.h
+++ b/include/ospreyspur/Support/ResultCode.h
@@ -1,7 +1,7 @@
-//===- ResultCode.h - numbered results and what they mean -------*- C++ -*-===//
+//===- ResultCode.h - numbered results --------------------------*- C++ -*-===//
 //
-// Every refusal and failure that leaves a process carries one of these numbers.
-// The list stands in ResultCodes.def.
+// Every rejection and failure that a process reports carries one of these
+// numbers. ResultCodes.def has the list.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +29,7 @@
 #include "ospreyspur/Support/ResultCodes.def"
 };
 
-/// One row of the table of results.
+/// One row of the result table.
 struct ResultInfo {
   ResultCode Code;
   std::string_view Name;
@@ -38,13 +38,14 @@
   std::string_view Message;
 };
 
-/// All rows, in the order of their numbers.
+/// All rows in the order of their numbers.
 std::span<const ResultInfo> allResults();
 
-/// The row of \p code; codes from a newer peer map to EndpointFailed.
+/// The row of \p code. An unknown code, such as one from a peer that runs a
+/// newer version, maps to EndpointFailed.
 const ResultInfo &describe(ResultCode code);
 
-/// The word for \p outcome on the wire and in logs, such as "not-run".
+/// The name of \p outcome on the wire and in logs, such as "not-run".
 std::string_view toString(Outcome outcome);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Support/StopSequence.h
+++ b/include/ospreyspur/Support/StopSequence.h
@@ -1,8 +1,9 @@
-//===- StopSequence.h - the steps of a planned stop -------------*- C++ -*-===//
+//===- StopSequence.h - phases of a planned stop ----------------*- C++ -*-===//
 //
-// A process that is told to stop first announces it and still takes work, as
-// those who send work learn of it only after a while. Then it takes no more,
-// ends what is in flight, and ends itself.
+// A process that is asked to stop first announces the stop and still accepts
+// work, because senders learn of the stop with a delay. Then the process
+// accepts no more work, waits up to a limit for the requests in flight, and
+// exits.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,37 +16,37 @@
 
 namespace ospreyspur {
 
-/// Where a planned stop stands.
+/// Phase of a planned stop.
 enum class StopPhase {
-  /// Not told to stop.
+  /// No stop was requested.
   Serving,
-  /// Says that it will stop; takes what still comes.
+  /// The stop is announced; new work is still accepted.
   Announcing,
-  /// Takes nothing new; what is in flight goes on.
+  /// No new work is accepted; requests in flight continue.
   Draining,
-  /// Nothing is in flight, or the limit has passed.
+  /// No request is in flight, or the limit has passed.
   Ended,
 };
 
-/// What a process knows of its work at one moment.
+/// Progress of a stopping process at one moment.
 struct StopProgress {
-  /// Requests without a final answer.
+  /// Requests without a final response.
   std::size_t InFlight = 0;
-  /// Whether all who send work have confirmed that they know.
+  /// Whether all senders of work have confirmed the announcement.
   bool IsConfirmed = false;
 };
 
-/// Decides when a stopping process moves on.
+/// Decides when a stopping process enters the next phase.
 class StopSequence {
 public:
   /// Announces for at most \p notice and ends at most \p limit after begin().
   StopSequence(Duration notice, Duration limit)
       : Notice(notice), Limit(limit) {}
 
-  /// Begins the stop; a second call changes nothing.
+  /// Begins the stop; a second call has no effect.
   void begin(TimePoint now);
 
-  /// Moves on by at most one phase.
+  /// Advances by at most one phase.
   void advance(StopProgress progress, TimePoint now);
 
   StopPhase phase() const { return Phase; }
--- a/include/ospreyspur/Support/StrongType.h
+++ b/include/ospreyspur/Support/StrongType.h
@@ -1,7 +1,8 @@
 //===- StrongType.h - distinct types for ids and counts ---------*- C++ -*-===//
 //
-// Wraps a value in a type of its own, so that an endpoint's id cannot be passed
-// where a workspace's is wanted. The wrapper adds comparison and hashing only.
+// Wraps a value in a distinct type, so that an endpoint's id cannot be passed
+// where a workspace's id is expected. The wrapper adds only comparison and
+// hashing.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +16,7 @@
 
 namespace ospreyspur {
 
-/// A value of type \p Rep that converts to no other tag's type.
+/// A value of type \p Rep that does not convert to a type with another tag.
 template <typename Tag, typename Rep> class StrongType {
 public:
   StrongType() = default;
--- a/include/ospreyspur/Support/Time.h
+++ b/include/ospreyspur/Support/Time.h
@@ -1,7 +1,7 @@
-//===- Time.h - the time type of every decision -----------------*- C++ -*-===//
+//===- Time.h - durations and points in time --------------------*- C++ -*-===//
 //
-// Decisions take the present time as an argument. Only the runtime shells read
-// a clock, through monotonicNow().
+// State machines take the current time as an argument. Only the code that runs
+// them reads a clock, through monotonicNow().
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,27 +13,29 @@
 
 namespace ospreyspur {
 
-/// All spans of time, in microseconds.
+/// A time span in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// Tag of the host-local monotonic clock; deliberately without now().
+/// Tag of the host's monotonic clock. There is deliberately no now(), so that
+/// state machines cannot read the clock.
 struct MonotonicClock {
   using rep = Duration::rep;
   using period = Duration::period;
   using duration = Duration;
   using time_point = std::chrono::time_point<MonotonicClock, Duration>;
-  // The name is the standard library's.
+  // The standard library prescribes this name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   static constexpr bool is_steady = true;
 };
 
-/// A moment on this host's monotonic clock.
+/// A point in time on this host's monotonic clock.
 using TimePoint = MonotonicClock::time_point;
 
-/// The present moment. For runtime shells only. The clock also counts the time
-/// that its host was suspended, which the standard library's steady clock
-/// leaves out: leases, reports and deadlines run on meanwhile, and whoever
-/// wakes must find them as old as they are.
+/// The current time; state machines must not call this. CLOCK_BOOTTIME also
+/// counts the time during which the host was suspended, which the standard
+/// library's steady clock leaves out. Leases, reports and deadlines continue to
+/// age while the host is suspended and must have their true age when it
+/// resumes.
 inline TimePoint monotonicNow() {
   std::timespec it{};
   ::clock_gettime(CLOCK_BOOTTIME, &it);
--- a/lib/Config/ConfigChange.cpp
+++ b/lib/Config/ConfigChange.cpp
@@ -1,7 +1,7 @@
 //===- ConfigChange.cpp - one operator's change ---------------------------===//
 //
-// Works on the JSON form and has parseConfig() judge the whole result, so that
-// no change can leave a document that processes would refuse.
+// Edits the document as JSON and validates the result with parseConfig(), so
+// that no change can produce a document that processes would reject.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +24,7 @@
   return !ec && in.is_object() ? in.get_object() : json::object();
 }
 
-/// The object under a name, or null.
+/// The object \p name of \p section, or null.
 static const json::value *findObject(const json::object &document,
                                      const std::string &section,
                                      const std::string &name) {
@@ -65,7 +65,7 @@
       present ? objectTag(json::serialize(*present)) : std::string(AbsentTag);
   if (change.IfMatch && *change.IfMatch != tag)
     return Error{ResultCode::ConfigConflict,
-                 "the object has tag " + tag + " by now"};
+                 "the object has tag " + tag + " now"};
   if (!change.Body && !present)
     return Error{ResultCode::NotFound, "no such object"};
 
--- a/lib/Config/ConfigWriter.cpp
+++ b/lib/Config/ConfigWriter.cpp
@@ -1,9 +1,9 @@
-//===- ConfigWriter.cpp - gets a change accepted, or says why not ---------===//
+//===- ConfigWriter.cpp - commits one configuration change ----------------===//
 //
-// A write in doubt can only land while the document still has the revision that
-// it expects. So once the document was read with another revision, or a later
-// write of ours was refused for its revision, the change's id in the audit
-// entries tells its fate for good.
+// A write whose reply was lost can only take effect while the document still
+// has the expected revision. Once the document has been read with another
+// revision, or a later write of the same change has been refused because of its
+// revision, the audit entries show whether the change was accepted.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +20,8 @@
     return Result;
   if (now >= Deadline) {
     if (IsInDoubt)
-      end(ResultCode::ConfigUnknownFate, "ask again with the same change id");
+      end(ResultCode::ConfigUnknownFate,
+          "submit the change again with the same change id");
     else
       end(ResultCode::PlatformUnavailable, "the platform did not answer");
     return Result;
--- a/lib/Config/EventSchedule.cpp
+++ b/lib/Config/EventSchedule.cpp
@@ -1,6 +1,6 @@
-//===- EventSchedule.cpp - what events do at a moment ---------------------===//
+//===- EventSchedule.cpp - priorities raised by events --------------------===//
 //
-// Overlapping events do not add up: the highest priority counts.
+// The priorities of overlapping events are not added; the highest applies.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Config/GossipNode.cpp
+++ b/lib/Config/GossipNode.cpp
@@ -1,4 +1,4 @@
-//===- GossipNode.cpp - spreads the platform's values ---------------------===//
+//===- GossipNode.cpp - gossip of the shared values -----------------------===//
 //
 // See GossipNode.h.
 //
@@ -12,8 +12,8 @@
 
 using namespace ospreyspur;
 
-/// A round is due a little before or after its interval, so that nodes that
-/// started together drift apart.
+/// Rounds start up to this share of the interval early or late, so that nodes
+/// that started together do not send at the same moments.
 static constexpr int JitterPercent = 10;
 
 static std::uint64_t drawBelow(std::uint64_t n, std::mt19937_64 &random) {
@@ -70,14 +70,14 @@
   return OwnPlace && *OwnPlace < Limits.WatchersPerDataCentre;
 }
 
-/// The agent that this node subscribes to; none for watchers.
+/// The agent that this node subscribes to; a watcher has none.
 std::optional<EndpointId> GossipNode::pickParent() const {
   std::size_t n = Order.size();
   if (n == 0 || isWatcher())
     return std::nullopt;
   std::size_t place = 0;
   if (!OwnPlace) {
-    // Agents that have no children in the tree serve the entries.
+    // Entries subscribe to agents that have no children in the tree.
     std::size_t firstLeaf = std::min(n / Limits.FanOut + 1, n - 1);
     place = firstLeaf + LeafNumber % (n - firstLeaf);
   } else {
@@ -110,7 +110,8 @@
   return takeActions();
 }
 
-/// Watchers always have a watch out; others ask once if their copy is too old.
+/// Watchers keep a watch open on each key; other nodes read a key once if their
+/// copy is too old.
 void GossipNode::askPlatform(TimePoint now) {
   for (SharedKey key : SharedKeys) {
     KeyFollower &follower = copyOf(key);
@@ -128,8 +129,8 @@
   }
 }
 
-/// The calls of a data centre's watchers come to the same, however many of them
-/// there are.
+/// With WatchWaitShare set, each watcher waits longer the more watchers there
+/// are, so that the call rate of a data centre does not depend on their number.
 Duration GossipNode::watchWait() const {
   auto watchers =
       static_cast<int>(std::min(Order.size(), Limits.WatchersPerDataCentre));
@@ -181,7 +182,7 @@
           follower.value()};
 }
 
-/// A peer that holds the same revision may know that it is newer confirmed.
+/// A peer with the same revision may have a more recent confirmation of it.
 void GossipNode::confirmFrom(const GossipDigest &digest, TimePoint now) {
   for (SharedKey key : SharedKeys) {
     const CopyState &theirs = digest.Copies[static_cast<std::size_t>(key)];
@@ -194,7 +195,7 @@
       .offer(update.State.At, update.Value, now - update.State.Age);
 }
 
-/// The copy of \p key is new: put it into force and hand it on.
+/// Reports that the copy of \p key has changed and sends it to subscribers.
 void GossipNode::announce(SharedKey key, std::optional<LinkId> except,
                           TimePoint now) {
   Out.push_back(CopyChanged{key});
@@ -212,14 +213,15 @@
   CallsOut.erase(it);
   if (copyOf(key).onReply(reply, now))
     announce(key, std::nullopt, now);
-  // A service that did not hold the watch is asked again at the next round.
+  // If the store did not hold the watch, the next call waits for the next
+  // round.
   bool wasHeld = now - copyOf(key).askedAt() >= watchWait() / 2;
   if (isWatcher() && (reply.Code == ResultCode::Ok || wasHeld))
     askPlatform(now);
   return takeActions();
 }
 
-/// Begins or prolongs a subscription. False if there are enough others.
+/// Starts or extends a subscription. False if the limit has been reached.
 bool GossipNode::subscribe(LinkId link, TimePoint now) {
   bool isKnown = Subscribers.contains(link);
   if (!isKnown && Subscribers.size() >= Limits.MaxSubscribers)
@@ -237,7 +239,7 @@
     if (theirs.At < copy(key).revision())
       Out.push_back(AnswerUpdate{from, makeUpdate(key, now)});
   }
-  // The answer also shows a sender with newer copies what this node lacks.
+  // The reply also shows a sender with newer copies which of them to send.
   Out.push_back(AnswerDigest{from, makeDigest(isSubscribed, now)});
   return takeActions();
 }
@@ -251,7 +253,8 @@
 
 GossipActions GossipNode::onAnswer(const EndpointId &from,
                                    const GossipDigest &digest, TimePoint now) {
-  // A parent that has enough subscribers counts like a silent one.
+  // A parent that accepts no more subscribers counts as one that does not
+  // reply.
   if (from == Parent)
     Misses = digest.IsSubscription ? 0 : Limits.MaxMisses;
   Answered.insert(from);
--- a/lib/Config/KeyFollower.cpp
+++ b/lib/Config/KeyFollower.cpp
@@ -1,4 +1,4 @@
-//===- KeyFollower.cpp - follows one key of the platform ------------------===//
+//===- KeyFollower.cpp - follows one key of the key-value store -----------===//
 //
 // See KeyFollower.h.
 //
@@ -23,7 +23,7 @@
 bool KeyFollower::onReply(const KvReply &reply, TimePoint now) {
   IsWaiting = false;
   bool isNewer = reply.Code == ResultCode::Ok;
-  // "Not found" says that there was nothing newer.
+  // NotFound means that the store has no newer value.
   if (!isNewer && reply.Code != ResultCode::NotFound) {
     Pause = std::clamp(Pause * 2, Limits.MinPause, Limits.MaxPause);
     PausedUntil = now + Pause;
@@ -32,7 +32,7 @@
   Pause = Duration::zero();
   HasReadService = true;
   SeenAt = std::max(SeenAt, reply.SeenAt);
-  // The value is at least as new as the question.
+  // The store held the value at or after the time of the call.
   if (isNewer) {
     noteNews(now);
     return offer(reply.At, reply.Value, AskedAt);
--- a/lib/Config/Selector.cpp
+++ b/lib/Config/Selector.cpp
@@ -1,6 +1,6 @@
-//===- Selector.cpp - chooses objects by their labels ---------------------===//
+//===- Selector.cpp - selects objects by their labels ---------------------===//
 //
-// Splits at commas outside of parentheses and reads each requirement by regular
+// Splits at commas outside parentheses and parses each requirement with regular
 // expressions.
 //
 //===----------------------------------------------------------------------===//
@@ -14,7 +14,7 @@
 
 using namespace ospreyspur;
 
-/// The text's parts between commas that stand in no parentheses.
+/// Splits \p text at the commas outside parentheses.
 static std::vector<std::string> splitRequirements(std::string_view text) {
   std::vector<std::string> parts(1);
   int depth = 0;
@@ -67,7 +67,7 @@
   if (std::regex_match(text, match, presence))
     return Requirement{match[2], {}, match[1] == "!"};
   return Error{ResultCode::ConfigInvalid,
-               "the selector has a bad requirement: '" + text + "'"};
+               "the selector has an invalid requirement: '" + text + "'"};
 }
 
 bool Selector::matches(const Labels &labels) const {
--- a/lib/Config/Settings.cpp
+++ b/lib/Config/Settings.cpp
@@ -1,6 +1,7 @@
-//===- Settings.cpp - the settings of each role ---------------------------===//
+//===- Settings.cpp - settings of each program ----------------------------===//
 //
-// Names, defaults and ranges. docs/SETTINGS.md lists the same; a test compares.
+// Names, defaults and ranges. docs/SETTINGS.md contains the same table; a test
+// compares the two.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Config/SettingsReader.cpp
+++ b/lib/Config/SettingsReader.cpp
@@ -1,6 +1,7 @@
-//===- SettingsReader.cpp - checked reading of an INI file ----------------===//
+//===- SettingsReader.cpp - checked reading of INI files ------------------===//
 //
-// Boost.PropertyTree parses; this file adds ranges and line numbers.
+// Boost.PropertyTree parses the file; this file checks ranges and finds line
+// numbers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -124,7 +125,7 @@
 Duration SettingsReader::readMillis(const std::string &key, Duration def,
                                     Duration min, Duration max,
                                     const std::string &help) {
-  assert(key.ends_with("_ms") && "a time's key names its unit");
+  assert(key.ends_with("_ms") && "the key of a duration must name its unit");
   auto toMillis = [](Duration it) {
     using std::chrono::milliseconds;
     return static_cast<std::uint64_t>(
@@ -175,7 +176,7 @@
   for (const auto &[section, keys] : Tree) {
     if (keys.empty())
       fail(ResultCode::SettingUnknown, section,
-           "expected every key to stand in a section");
+           "expected every key to be in a section");
     for (const auto &[name, value] : keys) {
       std::string key = section;
       key.append(".").append(name);
--- a/lib/Control/ControlPlane.cpp
+++ b/lib/Control/ControlPlane.cpp
@@ -1,6 +1,7 @@
-//===- ControlPlane.cpp - the control thread of a process -----------------===//
+//===- ControlPlane.cpp - control thread of a process ---------------------===//
 //
-// Bytes become inputs of the GossipNode, its actions become bytes.
+// Passes messages, replies and timers to the GossipNode and performs the
+// actions that it returns.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +17,8 @@
 using namespace ospreyspur;
 
 static constexpr Duration CallTimeout = std::chrono::seconds(2);
-/// Random peers are rarely asked twice; their links are not kept.
+/// Links to random peers are rarely used again, so unused ones are closed after
+/// this time.
 static constexpr Duration KeepUnusedLinks = std::chrono::seconds(10);
 
 ControlPlane::ControlPlane(boost::asio::io_context &ioc,
@@ -30,7 +32,7 @@
                     onAnswer(from, message);
                   },
                   [](const EndpointId &) {}}) {
-  // Until the host list is known, an agent's address stands for its name.
+  // Until the host list is known, an agent's address serves as its endpoint id.
   std::vector<EndpointView> first;
   first.reserve(peers.size());
   for (const std::string &it : peers)
@@ -53,7 +55,7 @@
 void ControlPlane::apply(const GossipActions &actions) {
   for (const GossipAction &action : actions)
     std::visit([this](const auto &it) { perform(it); }, action);
-  // Answers of peers can make the node ready without a new copy.
+  // Replies of peers can make the node ready without a new copy.
   if (!HasPublished)
     publish();
   Timer.set(Node.nextTimer());
@@ -163,7 +165,7 @@
   waitForEvent(now);
 }
 
-/// Publishes anew when an event next starts or ends.
+/// Publishes another snapshot when an event next starts or ends.
 void ControlPlane::waitForEvent(std::int64_t nowUnix) {
   EventTimer.cancel();
   std::optional<std::int64_t> next = findNextEventChange(Document, nowUnix);
--- a/lib/Control/DirectControl.cpp
+++ b/lib/Control/DirectControl.cpp
@@ -1,6 +1,7 @@
 //===- DirectControl.cpp - control thread of the direct path --------------===//
 //
-// Bytes become inputs of the state machines, their actions become bytes.
+// Passes messages, replies and timers to the state machines and performs the
+// actions that they return.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,24 +22,28 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// Beyond the time that the service may hold a watch.
+/// Time limit of a call to the key-value store, in addition to the time for
+/// which the store may hold a watch.
 static constexpr Duration CallTimeout = std::chrono::milliseconds(1000);
-/// Links to random peers are rarely used twice.
+/// Links to random peers are rarely used again, so unused ones are closed after
+/// this time.
 static constexpr Duration KeepUnusedLinks = std::chrono::seconds(10);
 
-/// Watchers of the store in one data centre: two of them may have died a moment
-/// ago, another may be cut from the store.
+/// Watchers of the key-value store in one data centre. At any moment two of
+/// them may just have crashed and a third may be cut off from the store.
 static constexpr std::size_t WatchersPerDataCentre = 4;
 
-/// Longest pause between two tries while the store does not answer: three
-/// seconds after its return a process has to know what it missed.
+/// Longest backoff between two calls while the store does not reply. Within
+/// three seconds after the store is back a process must have the changes that
+/// it missed.
 static constexpr Duration LongestPause = std::chrono::milliseconds(1000);
 
 GossipLimits ospreyspur::makeDirectGossipLimits() {
   GossipLimits limits;
   limits.WatchersPerDataCentre = WatchersPerDataCentre;
-  // A watch whose answer is lost must end within the time in which a process
-  // has to be in touch again; each watch is one call that is paid for.
+  // A watch whose reply is lost must end within the time limit for reconnecting
+  // to the store. A shorter wait costs more calls, and each watch is billed as
+  // one call.
   limits.WatchWait = std::chrono::milliseconds(1500);
   limits.WatchWaitShare = limits.WatchWait / 2;
   limits.Follower.MaxPause = LongestPause;
@@ -163,7 +168,8 @@
   auto ask = [this, wait = watch.Wait, onReply]() -> asio::awaitable<void> {
     onReply(co_await Reader.ask(wait, CallTimeout));
   };
-  // The frame of a coroutine lambda dies with the lambda; keep both.
+  // The captures of a coroutine lambda are destroyed with the lambda, so the
+  // lambda is kept alive until the coroutine ends.
   auto kept = std::make_shared<decltype(ask)>(std::move(ask));
   asio::co_spawn(Context, (*kept)(), [kept](const std::exception_ptr &) {});
 }
@@ -191,7 +197,8 @@
     apply(Node.onAnswer(from, *update, now));
 }
 
-/// The registered processes; those of the settings until there are any.
+/// Uses the registered processes as peers, or those of the settings while no
+/// other process is registered.
 void DirectControl::usePeers() {
   std::map<EndpointId, std::string> addresses;
   std::vector<EndpointView> views;
--- a/lib/Control/ListReader.cpp
+++ b/lib/Control/ListReader.cpp
@@ -15,8 +15,8 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// Rows that cannot be read are logged once each, and no more of them than
-/// this: whoever writes them may go on doing so.
+/// Each unreadable record is logged once, up to this number of records, because
+/// the process that writes them may continue to do so.
 static constexpr std::size_t MaxLoggedKeys = 100;
 
 asio::awaitable<KvReply> ListReader::ask(Duration wait, Duration timeout) {
@@ -60,7 +60,7 @@
     Rows[item.Key] = std::move(record.value());
     return;
   }
-  // Whatever stood there before, it names no endpoint now.
+  // An unreadable record names no endpoint, even if the key named one before.
   Rows.erase(item.Key);
   bool isNew =
       LoggedKeys.size() < MaxLoggedKeys && LoggedKeys.insert(item.Key).second;
--- a/lib/Control/QuarantineSync.cpp
+++ b/lib/Control/QuarantineSync.cpp
@@ -1,4 +1,4 @@
-//===- QuarantineSync.cpp - keeps the quarantine in the store -------------===//
+//===- QuarantineSync.cpp - stores the quarantine -------------------------===//
 //
 // See QuarantineSync.h.
 //
--- a/lib/Platform/PlatformClient.cpp
+++ b/lib/Platform/PlatformClient.cpp
@@ -1,8 +1,9 @@
-//===- PlatformClient.cpp - calls on the platform's service ---------------===//
+//===- PlatformClient.cpp - HTTP client of the key-value store ------------===//
 //
-// Composes the nodes' calls of the store's: a leased write is a grant and a
-// write, a list is its pages. GCC 12 destroys aggregates that are built inside
-// an awaiting expression twice; each is given a name first.
+// Maps each KvCall to the requests of the store: a write with a lease is a
+// grant and a write, a list is a sequence of pages. GCC 12 destroys aggregates
+// that are built inside a co_await expression twice, so each aggregate is a
+// named variable.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +19,7 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// Pages of one list; a service that always has more is not followed for ever.
+/// Most pages read for one list, in case the store always reports another page.
 static constexpr unsigned MaxPages = 200;
 
 static KvReply failed(ResultCode code) {
@@ -35,7 +36,8 @@
                       KvCall body) -> asio::awaitable<void> {
     handler(co_await ask(std::move(body), timeout));
   };
-  // The frame of a coroutine lambda dies with the lambda; keep both.
+  // The captures of a coroutine lambda are destroyed with the lambda, so the
+  // lambda is kept alive until the coroutine ends.
   auto kept = std::make_shared<decltype(exchange)>(std::move(exchange));
   asio::co_spawn(Context, (*kept)(std::move(call)),
                  [kept](const std::exception_ptr &) {});
@@ -74,7 +76,7 @@
     HttpRequest grant = platform::makeGrant(call.Lease);
     Result<HttpResponse> granted =
         co_await Client.call(std::move(grant), timeout);
-    // A lease without a key ends by itself; nothing was written.
+    // Nothing was written, and a granted lease without a key expires.
     if (!granted)
       co_return failed(ResultCode::PlatformRefused);
     Result<platform::StoreLease> read = platform::readGrant(granted.value());
@@ -162,7 +164,7 @@
     Result<platform::StorePage> page = platform::readPage(response.value());
     if (!page)
       co_return failed(page.error().Code);
-    // Pages are not a snapshot: a watch goes on after the first.
+    // The pages are not one snapshot, so a watch must continue after the first.
     if (i == 0)
       reply.SeenAt = page.value().SeenAt;
     std::move(page.value().Items.begin(), page.value().Items.end(),
--- a/lib/Support/Address.cpp
+++ b/lib/Support/Address.cpp
@@ -1,6 +1,6 @@
-//===- Address.cpp - reading addresses ------------------------------------===//
+//===- Address.cpp - parsing of TCP addresses -----------------------------===//
 //
-// Splits at the last colon, so that an IPv6 number may stand in brackets.
+// Splits at the last colon, so that an IPv6 address may be given in brackets.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Support/Digest.cpp
+++ b/lib/Support/Digest.cpp
@@ -1,6 +1,6 @@
-//===- Digest.cpp - digests by OpenSSL ------------------------------------===//
+//===- Digest.cpp - digests computed with OpenSSL -------------------------===//
 //
-// Wraps the one-shot calls, and HMAC for texts in parts.
+// Wraps OpenSSL's one-shot SHA-256 call, and HMAC for texts in several parts.
 //
 //===----------------------------------------------------------------------===//
 
@@ -52,7 +52,8 @@
 RequestDigest
 ospreyspur::digestRequest(std::string_view key,
                           std::initializer_list<std::string_view> parts) {
-  // Parts are hashed one by one: a body may be megabytes long.
+  // Parts are hashed separately instead of concatenated, since a body may be
+  // megabytes long.
   std::string digests;
   for (std::string_view it : parts) {
     Sha256 digest = sha256(it);
--- a/lib/Support/Metrics.cpp
+++ b/lib/Support/Metrics.cpp
@@ -1,4 +1,4 @@
-//===- Metrics.cpp - counters and distributions ---------------------------===//
+//===- Metrics.cpp - counters, gauges and distributions -------------------===//
 //
 // Quantiles come from the extended P-square estimator, which keeps a few
 // markers instead of the samples.
--- a/lib/Support/ResultCode.cpp
+++ b/lib/Support/ResultCode.cpp
@@ -1,6 +1,6 @@
-//===- ResultCode.cpp - the table of results ------------------------------===//
+//===- ResultCode.cpp - result table --------------------------------------===//
 //
-// Holds the rows of ResultCodes.def and finds one by its number.
+// Contains the rows of ResultCodes.def and finds a row by its number.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Support/StopSequence.cpp
+++ b/lib/Support/StopSequence.cpp
@@ -1,4 +1,4 @@
-//===- StopSequence.cpp - the steps of a planned stop ---------------------===//
+//===- StopSequence.cpp - phases of a planned stop ------------------------===//
 //
 // See StopSequence.h.
 //
