--- a/unittests/Config/ConfigWriterTest.cpp
+++ b/unittests/Config/ConfigWriterTest.cpp
@@ -1,8 +1,9 @@
-//===- ConfigWriterTest.cpp - racing operators lose no change -------------===//
+//===- ConfigWriterTest.cpp - concurrent configuration changes ------------===//
 //
-// Operators change the same document at once while the platform loses calls and
-// answers. Each change that was told accepted must stand in the history once,
-// each that was told refused must not.
+// Several operators change the same document concurrently while calls to the
+// key-value store and replies are lost. A change reported as accepted must be
+// in the document's history exactly once; a change reported as rejected must
+// not be in the history.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +27,7 @@
 static constexpr unsigned FaultPercent = 20;
 
 namespace {
-/// Operators at work on one key.
+/// Simulates operators that change one key concurrently.
 class WriterWorld {
 public:
   explicit WriterWorld(std::uint64_t seed) : Scheduler(seed, 5) {}
@@ -72,7 +73,8 @@
     }
     KvCall call = std::get<KvCall>(next);
     if (Scheduler.chance(FaultPercent)) {
-      // Lost before or after the effect, which may come late.
+      // The call or its reply is lost. In the second case the write takes
+      // effect, possibly late.
       if (Scheduler.chance(50))
         Scheduler.at(Scheduler.now() + Duration(Scheduler.below(2000000)),
                      [=, this] { perform(call); });
@@ -109,7 +111,7 @@
 };
 } // namespace
 
-TEST_CASE("racing operators lose no change and none stands twice") {
+TEST_CASE("concurrent changes are neither lost nor applied twice") {
   std::map<ResultCode, unsigned> told;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     INFO("seed ", seed);
@@ -123,11 +125,11 @@
     std::map<std::string, unsigned> accepted;
     for (const AuditEntry &it : last.value().Audit)
       ++accepted[it.ChangeId];
-    // Each accepted document is its predecessor with one change more.
+    // Each accepted document adds one change to its predecessor.
     REQUIRE(last.value().Audit.size() == world.History.size() - 1);
     for (const auto &it : world.Told) {
       ResultCode code = it.second;
-      INFO("change ", it.first, " told ", static_cast<unsigned>(code));
+      INFO("change ", it.first, " reported as ", static_cast<unsigned>(code));
       ++told[code];
       CHECK(accepted[it.first] <= 1);
       if (code == ResultCode::Ok)
--- a/unittests/Config/EventScheduleTest.cpp
+++ b/unittests/Config/EventScheduleTest.cpp
@@ -1,6 +1,7 @@
-//===- EventScheduleTest.cpp - selectors and events -----------------------===//
+//===- EventScheduleTest.cpp - selectors and event priorities -------------===//
 //
-// What a selector matches, and what events do before, during and after.
+// Which labels a selector matches, and the priorities before, during and after
+// events.
 //
 //===----------------------------------------------------------------------===//
 
@@ -34,7 +35,7 @@
   }
 }
 
-TEST_CASE("bad selectors are refused, also inside a document") {
+TEST_CASE("invalid selectors are rejected, also inside a document") {
   for (const char *bad : {"=", "a=b=c", "a in b", "a in (b", "a,,b", "a b",
                           "in (a)", "a=b,", "(a)"}) {
     INFO(bad);
--- a/unittests/Config/GossipTest.cpp
+++ b/unittests/Config/GossipTest.cpp
@@ -1,7 +1,8 @@
-//===- GossipTest.cpp - values spread, whatever fails ---------------------===//
+//===- GossipTest.cpp - gossip under faults -------------------------------===//
 //
-// All on virtual time: how soon a change is in force, with watchers dead, links
-// cut and the platform out, and that no copy ever goes back.
+// Runs fleets on virtual time. Checks how soon a change is in force on all
+// nodes while watchers are dead, links are cut or the key-value store is down,
+// and that no copy ever returns to an older revision.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,12 +17,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// What the users ask for.
+/// Required time until a change is in force on all nodes.
 static constexpr Duration InForceLimit = seconds(8);
 static constexpr Duration StartTime = seconds(5);
 
 namespace {
-/// A fleet without message loss that has started.
+/// A fleet without message loss, after its start phase.
 class StartedWorld : public GossipWorld {
 public:
   explicit StartedWorld(FleetShape shape) : GossipWorld(1, shape, 0, 0) {
@@ -35,19 +36,20 @@
 };
 } // namespace
 
-TEST_CASE("a change goes down the tree at once and only watchers ask") {
+TEST_CASE(
+    "a change reaches all nodes at once and only watchers call the store") {
   StartedWorld world({3, 30, 20});
   for (std::size_t d = 0; d < 3; ++d)
     CHECK(world.findWatchers(d).size() == 2);
   CHECK(world.timeInForce("second") < milliseconds(100));
   std::size_t before = world.PlatformCalls;
   world.Scheduler.runUntil(world.Scheduler.now() + seconds(60));
-  // 6 watchers, 2 keys, a watch of one second each.
+  // 6 watchers with 2 keys each, and one watch per second and key.
   CHECK(world.PlatformCalls - before <= 6 * 2 * 61);
   CHECK(world.Violations == 0);
 }
 
-TEST_CASE("a change is in force in time with both watchers dead") {
+TEST_CASE("a change is in force in time although both watchers are dead") {
   StartedWorld world({3, 30, 20});
   for (std::size_t it : world.findWatchers(1))
     world.kill(it);
@@ -55,14 +57,14 @@
   CHECK(world.timeInForce("third") <= InForceLimit);
 }
 
-TEST_CASE("without any watcher nodes ask the platform themselves") {
+TEST_CASE("nodes read the store themselves if there is no watcher") {
   StartedWorld world({1, 6, 4});
   for (std::size_t it : world.findWatchers(0))
     world.kill(it);
   CHECK(world.timeInForce("second") <= InForceLimit);
 }
 
-TEST_CASE("a data centre cut off from the platform learns from the others") {
+TEST_CASE("a data centre cut off from the store gets changes from the others") {
   StartedWorld world({3, 30, 20});
   world.cutFromPlatform(1, seconds(600));
   CHECK(world.timeInForce("second") <= InForceLimit);
@@ -79,7 +81,7 @@
   CHECK(world.timeInForce("second") <= InForceLimit);
 }
 
-TEST_CASE("a node started in an outage starts from its peers") {
+TEST_CASE("a node that starts during an outage gets its values from peers") {
   StartedWorld world({2, 6, 4});
   world.setOutage(seconds(600));
   std::size_t last = world.Nodes.size() - 1;
@@ -91,7 +93,7 @@
   CHECK(world.Nodes[last].Machine->copy(SharedKey::Config).value() == "first");
 }
 
-TEST_CASE("one peer alone does not make a node ready") {
+TEST_CASE("replies of a single peer do not make a node ready") {
   GossipNode node({EndpointId(), DataCentreId("d")}, GossipLimits(), 1);
   TimePoint now(std::chrono::hours(1));
   std::vector<EndpointView> peers;
@@ -101,7 +103,7 @@
   for (SharedKey key : SharedKeys)
     node.onAnswer(EndpointId("e1"),
                   GossipUpdate{key, {Revision(3), Duration(0)}, "v"}, now);
-  // The first may be the one whose copy is old.
+  // A single peer may have an outdated copy.
   for (const char *it : {"e1", "e1", "e2"}) {
     node.onAnswer(EndpointId(it), GossipDigest(), now);
     CHECK_FALSE(node.isReady());
@@ -110,7 +112,7 @@
   CHECK(node.isReady());
 }
 
-TEST_CASE("an old value from a slow read or a stale peer is not taken") {
+TEST_CASE("an older value from a slow read or a stale peer is ignored") {
   GossipNode node({EndpointId("e0"), DataCentreId("d")}, GossipLimits(), 1);
   TimePoint now(std::chrono::hours(1));
   std::vector<KvRequest> calls;
@@ -127,7 +129,7 @@
   CHECK(node.copy(SharedKey::Config).value() == "seven");
 }
 
-/// Breaks something, drawn from the world's seed.
+/// Injects a random fault, drawn from the world's seed.
 static void breakSomething(GossipWorld &world) {
   RandomScheduler &random = world.Scheduler;
   std::size_t i = random.below(world.Nodes.size());
@@ -150,7 +152,7 @@
     world.cutFromPlatform(random.below(3), span);
     return;
   default:
-    // The host list lags or is wrong.
+    // The host list is outdated or wrong.
     world.writeHosts({i, random.below(world.Nodes.size())});
   }
 }
@@ -180,8 +182,9 @@
   MESSAGE("longest until in force: ", worst.count() / 1000, " ms");
 }
 
-TEST_CASE("an entry watches the store itself though others are listed first") {
-  // Two of the four may have died a moment ago; their rows last for seconds.
+TEST_CASE(
+    "an entry watches the store although other entries are listed first") {
+  // Two of the four may just have crashed; their records last for seconds.
   std::vector<EndpointView> peers;
   for (const char *it : {"a", "b", "c", "d"})
     peers.push_back({EndpointId(it), {}, DataCentreId("x"), it, {}, false});
@@ -192,12 +195,13 @@
   }
 }
 
-TEST_CASE("rows that change one after the other do not each wake a watcher") {
+TEST_CASE(
+    "records that change in quick succession do not each wake a watcher") {
   KeyFollower follower("k", makeDirectGossipLimits().Follower);
   TimePoint now{std::chrono::hours(1)};
   std::uint64_t revision = 0;
   unsigned calls = 0;
-  // A fleet of 200 rows starts within ten seconds.
+  // A fleet of 200 records starts within ten seconds.
   for (unsigned i = 0; i < 200; ++i, now += milliseconds(50)) {
     if (!follower.nextCall(seconds(1), now))
       continue;
@@ -205,7 +209,8 @@
     follower.onReply({ResultCode::Ok, Revision(++revision), "v"}, now);
   }
   CHECK(calls <= 52);
-  // News after a quiet are asked for at once, and what comes next, too.
+  // After an idle period the store is called at once, and again at once after
+  // the first update.
   now += seconds(2);
   CHECK(follower.nextCall(seconds(1), now));
   now += seconds(2);
@@ -214,13 +219,13 @@
   CHECK(follower.nextCall(seconds(1), now));
 }
 
-TEST_CASE("a gathering watcher says when it will ask again") {
+TEST_CASE("a watcher that coalesces updates has a timer for its next call") {
   GossipNode node({EndpointId("a"), DataCentreId("x")},
                   makeDirectGossipLimits(), 1);
   node.setPeers({{EndpointId("a"), {}, DataCentreId("x"), "a", {}, false}});
   TimePoint now{std::chrono::hours(1)};
   std::uint64_t revision = 0;
-  // Answers every call at once with something new, for a second.
+  // For one second, replies to every call at once with a newer value.
   unsigned calls = 0;
   auto answer = [&](auto &&self, const GossipActions &actions) -> void {
     for (const GossipAction &it : actions)
@@ -236,15 +241,16 @@
     CHECK(node.nextTimer() > now);
     now = node.nextTimer();
   }
-  // Of two keys: at once, once more, and then five times a second.
+  // For each of two keys: one call at once, a second one, and then five calls
+  // per second.
   CHECK(calls >= 8);
   CHECK(calls <= 16);
 }
 
-TEST_CASE("an entry asks a store that was out again within a second") {
+TEST_CASE("an entry calls the store within a second after an outage") {
   KeyFollower follower("k", makeDirectGossipLimits().Follower);
   TimePoint now{std::chrono::hours(1)};
-  // Refused for ten seconds, then the store is back.
+  // The store refuses calls for ten seconds and then works again.
   TimePoint back = now + std::chrono::seconds(10);
   for (; now < back; now = std::max(now, follower.resumeAt())) {
     REQUIRE(follower.nextCall(Duration::zero(), now).has_value());
--- a/unittests/Config/GossipWorld.cpp
+++ b/unittests/Config/GossipWorld.cpp
@@ -1,6 +1,7 @@
-//===- GossipWorld.cpp - a fleet that spreads the platform's values -------===//
+//===- GossipWorld.cpp - simulated gossip fleet ---------------------------===//
 //
-// The wires between the nodes. It holds no policy of its own.
+// Delivers messages, calls and timers between the nodes and the fake key-value
+// store. All decisions are made by the GossipNodes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -220,7 +221,8 @@
   Scheduler.soon([this, watch] { hold(watch); });
 }
 
-/// Answers at once if there is a newer value, else at a write or at the end.
+/// Replies at once if there is a newer value, else at the next write or when
+/// the wait is over.
 void GossipWorld::hold(HeldWatch watch) {
   if (!canReachPlatform(watch.Caller)) {
     KvReply lost;
@@ -249,8 +251,8 @@
     if (std::erase_if(Held, isSame) > 0)
       reply(watch, nothing);
   });
-  // A watch that a cut takes away is lost to its caller; a second answer to a
-  // call changes nothing.
+  // A watch that is dropped by a cut times out at its caller. If the watch was
+  // replied to, the timeout is a second reply, which has no effect.
   Scheduler.at(Scheduler.now() + watch.Call.Wait + CallTimeout, [this, watch] {
     KvReply lost;
     lost.Code = ResultCode::PlatformTimeout;
--- a/unittests/Config/GossipWorld.h
+++ b/unittests/Config/GossipWorld.h
@@ -1,10 +1,10 @@
-//===- GossipWorld.h - a fleet that spreads the platform's values -*- C++
-//-*-===//
+//===- GossipWorld.h - simulated gossip fleet -------------------*- C++ -*-===//
 //
-// Connects real GossipNodes and a fake platform through a RandomScheduler, with
-// nodes that die and freeze and a platform that some or all cannot reach.
-// Checks that no copy ever goes back, and counts calls and messages. Tests and
-// the benchmark drive it.
+// Connects real GossipNodes and a fake key-value store through a
+// RandomScheduler. Nodes can be killed or frozen, and the store can be made
+// unreachable for one or all data centres. Checks that no copy ever returns to
+// an older revision, and counts calls and messages. Used by tests and by the
+// gossip benchmark.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,15 +24,15 @@
 
 namespace ospreyspur::test {
 
-/// The measures of a fleet.
+/// The size of a fleet.
 struct FleetShape {
   std::size_t DataCentres = 3;
-  /// In each data centre.
+  /// Number of agents in each data centre.
   std::size_t Agents = 4;
   std::size_t Entries = 2;
 };
 
-/// A fleet on virtual time.
+/// A fleet that runs on virtual time.
 class GossipWorld {
 public:
   using GossipMessage = std::variant<GossipDigest, GossipUpdate>;
@@ -49,39 +49,41 @@
     std::size_t MessagesOut = 0;
   };
 
-  /// \p lossPercent of the messages are lost and as many doubled.
+  /// Of the messages, \p lossPercent are lost and as many are delivered twice.
   GossipWorld(std::uint64_t seed, FleetShape shape, unsigned lossPercent,
               unsigned latePercent);
 
   RandomScheduler Scheduler;
   std::vector<Node> Nodes;
-  /// Copies that went back or differ from what was written.
+  /// Number of copies that returned to an older revision or differ from the
+  /// written value.
   std::size_t Violations = 0;
   std::size_t PlatformCalls = 0;
-  /// Bytes of a message on the wire; the benchmark sets the codec's.
+  /// Size of a message on the wire in bytes; the benchmark uses the codec's.
   std::function<std::size_t(const GossipMessage &)> SizeOf =
       [](const GossipMessage &) { return std::size_t(0); };
 
-  /// Writes \p value to the platform.
+  /// Writes \p value to the key-value store.
   Revision write(SharedKey key, const std::string &value);
-  /// Writes the host list anew, without the nodes in \p absent.
+  /// Writes the host list without the nodes in \p absent.
   void writeHosts(const std::vector<std::size_t> &absent);
   void start(std::size_t i);
   void kill(std::size_t i);
   void freeze(std::size_t i, Duration span);
-  /// Nobody reaches the platform for \p span.
+  /// Makes the key-value store unreachable for all nodes for \p span.
   void setOutage(Duration span);
-  /// One data centre does not reach the platform for \p span.
+  /// Makes the key-value store unreachable for one data centre for \p span.
   void cutFromPlatform(std::size_t dataCentre, Duration span);
-  /// Whether all that live have at least revision \p at of \p key.
+  /// Whether all running nodes have at least revision \p at of \p key.
   bool isInForce(SharedKey key, Revision at) const;
-  /// Runs until isInForce(), at most for \p limit; the time that it took.
+  /// Runs until isInForce(), but at most for \p limit, and returns the elapsed
+  /// time.
   Duration awaitInForce(SharedKey key, Revision at, Duration limit);
   /// The watchers of data centre \p i.
   std::vector<std::size_t> findWatchers(std::size_t dataCentre) const;
 
 private:
-  /// A call that the platform holds.
+  /// A watch that the key-value store holds.
   struct HeldWatch {
     std::size_t Caller;
     std::uint64_t Life;
@@ -112,7 +114,7 @@
   unsigned LossPercent;
   std::size_t NodesPerDataCentre;
   std::map<std::string, KvReply> Values;
-  /// What was written at each revision.
+  /// The value written at each revision.
   std::map<Revision, std::string> History;
   Revision Last;
   std::list<HeldWatch> Held;
--- a/unittests/Config/SettingsTest.cpp
+++ b/unittests/Config/SettingsTest.cpp
@@ -1,6 +1,6 @@
 //===- SettingsTest.cpp - settings files and configuration documents ------===//
 //
-// Every bad example must be refused with its number, line and key.
+// Every invalid example must be rejected with its result code, line and key.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,11 +28,11 @@
   return reader.errors();
 }
 
-TEST_CASE("a good settings file has no fault") {
+TEST_CASE("a valid settings file has no errors") {
   CHECK(readEntry(GoodEntry).empty());
 }
 
-TEST_CASE("each bad settings file is refused with number, line and key") {
+TEST_CASE("each invalid settings file is rejected with code, line and key") {
   struct {
     std::string Line;
     ResultCode Code;
@@ -58,7 +58,7 @@
   }
 }
 
-TEST_CASE("missing keys, bad addresses and bad syntax are refused") {
+TEST_CASE("missing keys, invalid addresses and syntax errors are rejected") {
   CHECK(readEntry("").size() == 3);
   CHECK(readEntry("")[0].Code == ResultCode::SettingMissing);
   std::vector<SettingError> errors =
@@ -71,13 +71,13 @@
   CHECK(readEntry("no section\n")[0].Code == ResultCode::SettingsSyntax);
 }
 
-TEST_CASE("the page of settings holds the table of keys") {
+TEST_CASE("docs/SETTINGS.md contains the table of keys") {
   std::ifstream is(OSPREYSPUR_SOURCE_DIR "/docs/SETTINGS.md");
   std::string page(std::istreambuf_iterator<char>(is), {});
   CHECK(page.find(formatSettingsTable()) != std::string::npos);
 }
 
-TEST_CASE("a configuration document reads back") {
+TEST_CASE("a configuration document survives a round trip") {
   ConfigDocument document;
   document.Workspaces["riders"] = {std::string(64, 'a'), 3, {{"team", "x"}}};
   document.Services["assistant"] = {ServiceKind::Model, true, {}};
@@ -90,7 +90,7 @@
   CHECK(formatConfig(back.value()) == text);
 }
 
-TEST_CASE("each bad configuration document is refused") {
+TEST_CASE("each invalid configuration document is rejected") {
   for (const char *bad :
        {"", "[]", "{\"workspace\": {}}", "{\"workspaces\": []}",
         "{\"workspaces\": {\"w\": {\"weight\": 0}}}",
--- a/unittests/Platform/PlatformWireTest.cpp
+++ b/unittests/Platform/PlatformWireTest.cpp
@@ -1,6 +1,7 @@
-//===- PlatformWireTest.cpp - the platform's messages ---------------------===//
+//===- PlatformWireTest.cpp - parsing of the platform's messages ----------===//
 //
-// Good messages read as what they say; damaged ones are numbered errors.
+// Valid messages of the platform and of endpoints are parsed to their values;
+// damaged ones give numbered errors.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +30,7 @@
     R"("limits":{"max_header_bytes":100,"idle_timeout_ms":9000},)"
     R"("tenants":[{"name":"w","api_keys":["k1","k2"],"priority":3}]})";
 
-TEST_CASE("the operators' document reads as routes, services and keys") {
+TEST_CASE("the operators' document is parsed to routes, services and keys") {
   Result<FleetConfig> config = platform::readConfig(Document);
   REQUIRE(config);
   const FleetConfig &it = config.value();
@@ -47,7 +48,7 @@
   CHECK(it.Limits.IdleTimeout == std::chrono::seconds(9));
 }
 
-TEST_CASE("a bad document is a numbered error") {
+TEST_CASE("an invalid document gives a numbered error") {
   for (const char *it :
        {"", "[]", "{}", R"({"version":1,"routes":[1]})",
         R"({"version":1,"routes":[{"prefix":"/","kind":"odd"}]})",
@@ -59,7 +60,7 @@
   }
 }
 
-TEST_CASE("only endpoints that tell a stage can be asked for their condition") {
+TEST_CASE("only endpoints whose record has a stage get status queries") {
   KvItem row;
   row.Key = std::string(platform::EndpointPrefix) + "i-1";
   const std::string common =
@@ -81,7 +82,7 @@
 }
 } // namespace
 
-TEST_CASE("rows by other writers name no endpoint") {
+TEST_CASE("malformed endpoint records name no endpoint") {
   const std::string good =
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1",)"
       R"("slots":12,"state":"ready","cold_left_ms":0,"seq":4,"born":1700})";
@@ -122,7 +123,7 @@
   CHECK_FALSE(platform::readEndpoint(nameless));
 }
 
-TEST_CASE("the lives of one endpoint are different endpoints of one name") {
+TEST_CASE("incarnations of one endpoint have different ids and the same name") {
   const std::string head =
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1",)"
       R"("slots":12,"state":"ready","seq":4)";
@@ -140,7 +141,7 @@
             .Life == RankLife(1701));
 }
 
-TEST_CASE("damaged messages are errors and never more") {
+TEST_CASE("damaged messages give errors and do not crash") {
   const std::string report =
       R"({"group":{"name":"g","epoch":1,"rank":2,"state":"open"},"size":8,)"
       R"("step":5,"map":1,"prepared":null,"armed":{"version":2,"step":9},)"
@@ -169,7 +170,7 @@
   CHECK_FALSE(status.value().Prepared);
 }
 
-TEST_CASE("base64 survives both ways") {
+TEST_CASE("base64 survives a round trip") {
   for (std::size_t n = 0; n < 70; ++n) {
     std::string bytes;
     for (std::size_t i = 0; i < n; ++i)
@@ -195,7 +196,7 @@
   return request;
 }
 
-TEST_CASE("a request goes on unaltered but for what is one connection's") {
+TEST_CASE("a request is forwarded without its connection-specific headers") {
   HttpRequest request = makeRequest();
   platform::CallerHeaders caller = platform::readCaller(request);
   CHECK(caller.Label == "abc");
@@ -230,7 +231,7 @@
   return platform::readAnswer(response, "abc").Verdict;
 }
 
-TEST_CASE("only the endpoint's word says that nothing ran") {
+TEST_CASE("only an explicit response of the endpoint shows that nothing ran") {
   CHECK(judge(200, {"Request-Id:abc", "Replica-Stamp:s"}) ==
         AnswerVerdict::Own);
   CHECK(judge(500, {"Request-Id:abc", "Replica-Stamp:s"}) ==
@@ -247,7 +248,7 @@
                     "Content-Encoding:gzip"}) == AnswerVerdict::Unusable);
 }
 
-TEST_CASE("our own refusals say when to come back and carry no signature") {
+TEST_CASE("refusals by an entry have a Retry-After and no Replica-Stamp") {
   HttpResponse refusal = platform::makeRefusal(
       ResultCode::NoEndpoint, std::chrono::milliseconds(250), "abc");
   CHECK(refusal.result_int() == 503);
@@ -256,7 +257,7 @@
   CHECK(refusal.find("Replica-Stamp") == refusal.end());
 }
 
-TEST_CASE("a rate that an answer names is read; what is no number has no "
+TEST_CASE("a rate limit in a response is parsed; a malformed one has no "
           "effect") {
   auto askedBy = [](const std::string &rate, unsigned status = 200) {
     HttpResponse answer;
@@ -280,14 +281,14 @@
   twice.insert("Server-Limit", "1");
   twice.insert("Server-Limit", "2");
   CHECK_FALSE(platform::readAnswer(twice, "r").Asked.RequestsPerSecond);
-  // Another endpoint has the address.
+  // Status 421 means that another endpoint has the address.
   CHECK_FALSE(askedBy("2", 421).RequestsPerSecond);
   CHECK(askedBy("one", 421).Malformed.empty());
   CHECK_FALSE(
       platform::readAnswer(HttpResponse(), "r").Asked.RequestsPerSecond);
 }
 
-TEST_CASE("a pause that a refusal asks for is read, in seconds or as a date") {
+TEST_CASE("the Retry-After of a refusal is parsed, in seconds or as a date") {
   auto restOf = [](const std::string &value, unsigned status = 503,
                    const std::string &date = "") {
     HttpResponse answer;
@@ -309,7 +310,7 @@
   CHECK(restOf("Wed, 21 Oct 2015 07:28:05 GMT", 503, Now) ==
         Duration(std::chrono::seconds(5)));
   CHECK(restOf("Wed, 21 Oct 2015 07:27:00 GMT", 503, Now) == Duration::zero());
-  // Clocks differ, so a date says nothing by itself.
+  // Clocks differ, so a date is meaningless without the sender's own date.
   CHECK_FALSE(restOf("Wed, 21 Oct 2015 07:28:05 GMT"));
   for (const char *it :
        {"", "-3", "nan", "inf", "soon", "1;2", "3 s", "Wed, 99 Foo 2015"}) {
@@ -318,7 +319,7 @@
   }
 }
 
-TEST_CASE("an answer says that its endpoint leaves with one word only") {
+TEST_CASE("only the value 1 of Server-Leaving marks an endpoint as leaving") {
   auto saysLeaving = [](const std::string &value, unsigned status = 200) {
     HttpResponse answer;
     answer.result(status);
--- a/unittests/Support/DamagedInputTest.cpp
+++ b/unittests/Support/DamagedInputTest.cpp
@@ -1,4 +1,4 @@
-//===- DamagedInputTest.cpp - parsers on damaged texts --------------------===//
+//===- DamagedInputTest.cpp - parsers on damaged input --------------------===//
 //
 // Every parser of outside bytes that is ours gets valid texts with bytes
 // changed, removed, doubled and moved. It must give a value or a numbered
@@ -25,7 +25,7 @@
 static constexpr int Rounds = 20000;
 
 namespace {
-/// Draws damaged versions of a text.
+/// Generates damaged versions of a text.
 class Damage {
 public:
   explicit Damage(std::string valid) : Valid(std::move(valid)) {}
@@ -59,7 +59,7 @@
       text.resize(at);
       return;
     default:
-      // Numbers at their limits are where parsers break.
+      // Numbers beyond their limits are a common cause of parser errors.
       text.insert(at, below(2) == 0 ? "18446744073709551616" : "-1");
     }
   }
@@ -69,7 +69,8 @@
 };
 } // namespace
 
-/// Feeds damaged versions of \p valid to \p parse; gives how many it took.
+/// Passes damaged versions of \p valid to \p parse and returns how many were
+/// accepted.
 template <typename Parse>
 static int countTaken(const std::string &valid, Parse parse) {
   REQUIRE(parse(valid));
--- a/unittests/Support/LogWriterTest.cpp
+++ b/unittests/Support/LogWriterTest.cpp
@@ -1,6 +1,7 @@
-//===- LogWriterTest.cpp - a log that nobody reads ------------------------===//
+//===- LogWriterTest.cpp - log output without a reader --------------------===//
 //
-// Lines come out in order; a reader that has stopped reading holds nobody up.
+// Lines are written in order, and a reader that stops reading does not block
+// the process that logs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +17,7 @@
 using namespace ospreyspur;
 
 namespace {
-/// A pipe that is closed at the end.
+/// A pipe that is closed on destruction.
 struct Pipe {
   Pipe() { REQUIRE(::pipe(Ends.data()) == 0); }
   ~Pipe() {
@@ -49,7 +50,7 @@
   CHECK(text.find("event=second") != std::string::npos);
 }
 
-TEST_CASE("a log that nobody reads drops lines, ordinary ones first") {
+TEST_CASE("a log without a reader drops lines, informational ones first") {
   Pipe pipe;
   LogWriter writer(pipe.Ends[1]);
   const std::string text(1000, 'x');
--- a/unittests/Support/ResultCodeTest.cpp
+++ b/unittests/Support/ResultCodeTest.cpp
@@ -1,6 +1,6 @@
-//===- ResultCodeTest.cpp - the table and its page agree ------------------===//
+//===- ResultCodeTest.cpp - result codes match their documentation --------===//
 //
-// docs/RESULT-CODES.md must hold exactly the rows of ResultCodes.def.
+// docs/RESULT-CODES.md must contain exactly the rows of ResultCodes.def.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,7 @@
 
 using namespace ospreyspur;
 
-TEST_CASE("the page of result codes holds the rows of the table") {
+TEST_CASE("docs/RESULT-CODES.md contains the rows of the result table") {
   std::vector<std::string> expected;
   for (const ResultInfo &it : allResults()) {
     std::ostringstream os;
--- a/unittests/Support/StopSequenceTest.cpp
+++ b/unittests/Support/StopSequenceTest.cpp
@@ -1,6 +1,6 @@
-//===- StopSequenceTest.cpp - the steps of a planned stop -----------------===//
+//===- StopSequenceTest.cpp - phases of a planned stop --------------------===//
 //
-// When a stopping process stops taking work, and when it ends.
+// When a stopping process stops accepting work, and when it ends.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,7 +28,7 @@
   CHECK(stop.phase() == StopPhase::Ended);
 }
 
-TEST_CASE("a confirmed stop need not wait, but work in flight is waited for") {
+TEST_CASE("a confirmed stop skips the notice but waits for work in flight") {
   StopSequence stop(seconds(2), seconds(30));
   stop.begin(Start);
   stop.advance({3, true}, Start);
@@ -42,7 +42,7 @@
 TEST_CASE("a stop ends at its limit with work in flight") {
   StopSequence stop(seconds(60), seconds(30));
   stop.begin(Start);
-  // A second signal does not begin anew.
+  // A second stop signal does not restart the sequence.
   stop.begin(Start + seconds(20));
   stop.advance(Busy, Start + seconds(30));
   stop.advance(Busy, Start + seconds(30));
