--- a/include/ospreyspur/Config/ConfigWriter.h
+++ b/include/ospreyspur/Config/ConfigWriter.h
@@ -53,7 +53,7 @@
 
   ConfigChange Change;
   TimePoint Deadline;
-  Stage Now = Stage::Reading;
+  Stage CurrentStage = Stage::Reading;
   Revision ReadAt;
   std::string NextDocument;
   /// Whether a write was sent and may or may not have taken effect.
--- a/include/ospreyspur/Config/GossipActions.h
+++ b/include/ospreyspur/Config/GossipActions.h
@@ -28,13 +28,13 @@
 };
 
 /// Send a digest in reply on a link that another node opened.
-struct AnswerDigest {
+struct ReplyDigest {
   LinkId To;
   GossipDigest Body;
 };
 
 /// Send a value on a link that another node opened.
-struct AnswerUpdate {
+struct ReplyUpdate {
   LinkId To;
   GossipUpdate Body;
 };
@@ -50,7 +50,7 @@
 };
 
 using GossipAction =
-    std::variant<SendDigestTo, SendUpdateTo, AnswerDigest, AnswerUpdate,
+    std::variant<SendDigestTo, SendUpdateTo, ReplyDigest, ReplyUpdate,
                  CallPlatformForGossip, CopyChanged>;
 using GossipActions = std::vector<GossipAction>;
 
--- a/include/ospreyspur/Config/GossipNode.h
+++ b/include/ospreyspur/Config/GossipNode.h
@@ -45,9 +45,9 @@
   /// change that one watcher misses arrives with the digests of the others.
   Duration WatchWaitShare{};
   /// A copy that was not confirmed for this time plus a random part of
-  /// MaxAgeSpread is read from the key-value store.
+  /// MaxAgeJitter is read from the key-value store.
   Duration MaxAge = std::chrono::seconds(4);
-  Duration MaxAgeSpread = std::chrono::seconds(2);
+  Duration MaxAgeJitter = std::chrono::seconds(2);
   /// A subscription ends after this time without a subscribing digest.
   Duration SubscriptionTime = std::chrono::milliseconds(3500);
   /// Number of children of one agent in the tree.
@@ -59,7 +59,7 @@
   unsigned MaxMisses = 2;
   /// A node that is not a watcher picks one random peer in so many from another
   /// data centre; a watcher picks all of them there.
-  unsigned FarPeerOneIn = 10;
+  unsigned RemotePeerOneIn = 10;
   /// Peers that must have replied before copies that did not come from the
   /// store are recent enough to start with.
   std::size_t PeersToStart = 3;
@@ -97,10 +97,10 @@
   GossipActions onMessage(LinkId from, const GossipUpdate &update,
                           TimePoint now);
   /// Takes a message on the link that this node opened to the agent of \p from.
-  GossipActions onAnswer(const EndpointId &from, const GossipDigest &digest,
-                         TimePoint now);
-  GossipActions onAnswer(const EndpointId &from, const GossipUpdate &update,
-                         TimePoint now);
+  GossipActions onPeerReply(const EndpointId &from, const GossipDigest &digest,
+                            TimePoint now);
+  GossipActions onPeerReply(const EndpointId &from, const GossipUpdate &update,
+                            TimePoint now);
   /// Ends the subscription of a link that another node opened and that closed.
   void onLinkDown(LinkId link) { Subscribers.erase(link); }
 
@@ -117,7 +117,7 @@
 
 private:
   KeyFollower &copyOf(SharedKey key);
-  void askPlatform(TimePoint now);
+  void callStore(TimePoint now);
   Duration watchWait() const;
   void sendDigests(TimePoint now);
   std::optional<EndpointId> pickParent() const;
@@ -126,7 +126,7 @@
   bool subscribe(LinkId link, TimePoint now);
   GossipUpdate makeUpdate(SharedKey key, TimePoint now) const;
   void confirmFrom(const GossipDigest &digest, TimePoint now);
-  bool take(const GossipUpdate &update, TimePoint now);
+  bool applyUpdate(const GossipUpdate &update, TimePoint now);
   void announce(SharedKey key, std::optional<LinkId> except, TimePoint now);
   GossipActions takeActions();
 
@@ -136,15 +136,15 @@
   /// Random number that determines which leaf of the tree an entry subscribes
   /// to.
   std::uint64_t LeafNumber;
-  /// The random part of MaxAgeSpread that this node adds to MaxAge.
-  Duration OwnSpread;
+  /// The random part of MaxAgeJitter that this node adds to MaxAge.
+  Duration OwnAgeJitter;
   std::array<KeyFollower, SharedKeyCount> Copies;
   /// Agents of this node's data centre in tree order, without leaving ones.
   std::vector<EndpointId> Order;
-  std::vector<EndpointId> FarPeers;
-  std::optional<std::size_t> OwnPlace;
+  std::vector<EndpointId> RemotePeers;
+  std::optional<std::size_t> OwnIndex;
   std::map<LinkId, TimePoint> Subscribers;
-  std::set<EndpointId> Answered;
+  std::set<EndpointId> PeersReplied;
   /// Number of agents skipped because they did not reply or had no free
   /// subscription.
   std::size_t ParentShift = 0;
@@ -152,7 +152,7 @@
   std::optional<EndpointId> Parent;
   TimePoint NextRound;
   std::uint64_t LastKvCall = 0;
-  std::unordered_map<KvCallId, SharedKey> CallsOut;
+  std::unordered_map<KvCallId, SharedKey> CallsInFlight;
   GossipActions Out;
 };
 
--- a/include/ospreyspur/Config/KeyFollower.h
+++ b/include/ospreyspur/Config/KeyFollower.h
@@ -21,17 +21,17 @@
 /// Delays of a follower.
 struct FollowerLimits {
   /// Bounds of the exponential backoff after failures of the store.
-  Duration MinPause = std::chrono::milliseconds(200);
-  Duration MaxPause = std::chrono::seconds(5);
+  Duration MinBackoff = std::chrono::milliseconds(200);
+  Duration MaxBackoff = std::chrono::seconds(5);
   /// Updates in quick succession are coalesced: the store is not called again
   /// for this time. Otherwise, when a fleet starts or is replaced, every record
   /// would wake every watcher (204 records times 40 watchers are two thirds of
   /// the 11,400 calls of a calm day). The delay is a tenth of the shortest time
   /// within which a leaving endpoint must be known.
-  Duration Gather = std::chrono::milliseconds(200);
+  Duration CoalesceDelay = std::chrono::milliseconds(200);
   /// An update that follows the previous one by at least this time is not part
   /// of a burst; the store is called again at once.
-  Duration Apart = std::chrono::seconds(1);
+  Duration BurstGap = std::chrono::seconds(1);
 };
 
 /// Follows one key.
@@ -56,11 +56,11 @@
 
   /// When nextCall() may return a call after coalesced updates; no value while
   /// no updates are being coalesced.
-  std::optional<TimePoint> gatheredAt() const { return GatherUntil; }
+  std::optional<TimePoint> coalescedAt() const { return CoalesceUntil; }
   /// When nextCall() may return a call after a failure.
-  TimePoint resumeAt() const { return PausedUntil; }
+  TimePoint retryAt() const { return BackoffUntil; }
   /// When the last call was made.
-  TimePoint askedAt() const { return AskedAt; }
+  TimePoint calledAt() const { return CalledAt; }
   /// Whether the store itself has replied at least once.
   bool hasReadService() const { return HasReadService; }
   /// The copy's revision; 0 until there is a value.
@@ -71,26 +71,26 @@
   TimePoint confirmedAt() const { return Confirmed; }
 
 private:
-  void noteNews(TimePoint now);
+  void recordUpdate(TimePoint now);
 
   std::string Key;
   FollowerLimits Limits;
   Revision At;
   std::string Value;
   TimePoint Confirmed;
-  TimePoint AskedAt;
-  Revision AskedFor;
+  TimePoint CalledAt;
+  Revision RevisionAtCall;
   /// The revision after which the next watch continues; after a reply of the
   /// store it may be above the copy's revision.
   Revision SeenAt;
   bool IsWaiting = false;
   bool HasReadService = false;
-  TimePoint PausedUntil;
+  TimePoint BackoffUntil;
   /// When the store last returned a newer value.
-  std::optional<TimePoint> NewsAt;
+  std::optional<TimePoint> UpdatedAt;
   /// End of the delay during which updates are coalesced.
-  std::optional<TimePoint> GatherUntil;
-  Duration Pause{};
+  std::optional<TimePoint> CoalesceUntil;
+  Duration Backoff{};
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Control/ControlPlane.h
+++ b/include/ospreyspur/Control/ControlPlane.h
@@ -66,14 +66,14 @@
   void apply(const GossipActions &actions);
   void perform(const SendDigestTo &action);
   void perform(const SendUpdateTo &action);
-  void perform(const AnswerDigest &action);
-  void perform(const AnswerUpdate &action);
+  void perform(const ReplyDigest &action);
+  void perform(const ReplyUpdate &action);
   void perform(const CallPlatformForGossip &action);
   void perform(const CopyChanged &action);
-  void onAnswer(const EndpointId &from, const Message &message);
+  void onPeerReply(const EndpointId &from, const Message &message);
   void setPeers(const std::vector<EndpointView> &peers);
-  void takeConfig();
-  void takeHosts();
+  void applyConfig();
+  void applyHosts();
   void publish();
   void waitForEvent(std::int64_t nowUnix);
 
--- a/include/ospreyspur/Control/DirectControl.h
+++ b/include/ospreyspur/Control/DirectControl.h
@@ -74,15 +74,15 @@
   void apply(const GossipActions &actions);
   void perform(const SendDigestTo &action);
   void perform(const SendUpdateTo &action);
-  void perform(const AnswerDigest &action);
-  void perform(const AnswerUpdate &action);
+  void perform(const ReplyDigest &action);
+  void perform(const ReplyUpdate &action);
   void perform(const CallPlatformForGossip &action);
   void perform(const CopyChanged &action);
   void onMessage(LinkId from, const Message &message);
-  void onAnswer(const EndpointId &from, const Message &message);
-  void usePeers();
-  void takeConfig();
-  void takeEndpoints();
+  void onPeerReply(const EndpointId &from, const Message &message);
+  void updatePeers();
+  void applyConfig();
+  void applyEndpoints();
   void publish();
 
   boost::asio::io_context &Context;
--- a/include/ospreyspur/Control/ListReader.h
+++ b/include/ospreyspur/Control/ListReader.h
@@ -28,7 +28,7 @@
 
 private:
   boost::asio::awaitable<KvReply> readAll(Duration timeout);
-  void take(const KvItem &item);
+  void applyItem(const KvItem &item);
   KvReply makeReply() const;
 
   PlatformClient &Platform;
--- a/include/ospreyspur/Support/Ids.h
+++ b/include/ospreyspur/Support/Ids.h
@@ -18,7 +18,7 @@
 using EndpointId = StrongType<struct EndpointIdTag, std::string>;
 /// Names a workspace, the unit of fairness and of access.
 using WorkspaceId = StrongType<struct WorkspaceIdTag, std::string>;
-/// Names a service or a model that callers ask for.
+/// Names a service or a model that callers request.
 using ServiceId = StrongType<struct ServiceIdTag, std::string>;
 /// Names a data centre.
 using DataCentreId = StrongType<struct DataCentreIdTag, std::string>;
@@ -35,7 +35,7 @@
 using CallId = StrongType<struct CallIdTag, std::uint64_t>;
 /// Numbers the dispatches of one call within one entry process.
 using AttemptNumber = StrongType<struct AttemptNumberTag, std::uint32_t>;
-/// Identifies one connection between two of our processes at its receiver.
+/// Identifies one connection between two Ospreyspur processes at its receiver.
 using LinkId = StrongType<struct LinkIdTag, std::uint64_t>;
 /// A position in the key-value store's revision order; 0 means "absent".
 using Revision = StrongType<struct RevisionTag, std::uint64_t>;
--- a/lib/Config/ConfigChange.cpp
+++ b/lib/Config/ConfigChange.cpp
@@ -28,10 +28,10 @@
 static const json::value *findObject(const json::object &document,
                                      const std::string &section,
                                      const std::string &name) {
-  const json::value *group = document.if_contains(section);
-  if (!group || !group->is_object())
+  const json::value *objects = document.if_contains(section);
+  if (!objects || !objects->is_object())
     return nullptr;
-  return group->get_object().if_contains(name);
+  return objects->get_object().if_contains(name);
 }
 
 std::string ospreyspur::objectTag(const std::string &object) {
@@ -69,23 +69,23 @@
   if (!change.Body && !present)
     return Error{ResultCode::NotFound, "no such object"};
 
-  json::value &group = document[section];
-  if (!group.is_object())
-    group = json::object();
+  json::value &objects = document[section];
+  if (!objects.is_object())
+    objects = json::object();
   if (change.Body) {
     boost::system::error_code ec;
     json::value body = json::parse(*change.Body, ec);
     if (ec)
       return Error{ResultCode::ConfigInvalid, "not JSON: " + ec.message()};
-    group.get_object()[change.Name] = std::move(body);
+    objects.get_object()[change.Name] = std::move(body);
   } else {
-    group.get_object().erase(change.Name);
+    objects.get_object().erase(change.Name);
   }
   addAuditEntry(document, change);
   std::string next = json::serialize(document);
-  Result<ConfigDocument> judged = parseConfig(next);
-  if (!judged)
-    return judged.error();
+  Result<ConfigDocument> parsed = parseConfig(next);
+  if (!parsed)
+    return parsed.error();
   return next;
 }
 
--- a/lib/Config/ConfigDocument.cpp
+++ b/lib/Config/ConfigDocument.cpp
@@ -18,7 +18,7 @@
 namespace json = boost::json;
 
 namespace {
-/// Thrown inside this file only, to leave nested readers.
+/// Thrown and caught only in this file, to return from nested readers.
 struct BadField {
   std::string Detail;
 };
@@ -26,35 +26,35 @@
 
 static void checkKeys(const json::object &in,
                       std::initializer_list<std::string_view> known,
-                      const std::string &place) {
+                      const std::string &path) {
   for (const auto &it : in) {
     std::string_view key(it.key().data(), it.key().size());
     if (std::find(known.begin(), known.end(), key) == known.end())
-      throw BadField{place + ": unknown field '" + std::string(key) + "'"};
+      throw BadField{path + ": unknown field '" + std::string(key) + "'"};
   }
 }
 
 static const json::object &asObject(const json::value &in,
-                                    const std::string &place) {
+                                    const std::string &path) {
   if (!in.is_object())
-    throw BadField{place + ": expected an object"};
+    throw BadField{path + ": expected an object"};
   return in.get_object();
 }
 
 static std::string textOr(const json::object &in, std::string_view key,
-                          const std::string &def, const std::string &place) {
+                          const std::string &def, const std::string &path) {
   const json::value *it =
       in.if_contains(json::string_view(key.data(), key.size()));
   if (!it)
     return def;
   if (!it->is_string())
-    throw BadField{place + "." + std::string(key) + ": expected a string"};
+    throw BadField{path + "." + std::string(key) + ": expected a string"};
   return std::string(it->get_string());
 }
 
 static std::int64_t numberOr(const json::object &in, std::string_view key,
                              std::int64_t def, std::int64_t min,
-                             std::int64_t max, const std::string &place) {
+                             std::int64_t max, const std::string &path) {
   const json::value *it =
       in.if_contains(json::string_view(key.data(), key.size()));
   if (!it)
@@ -62,31 +62,31 @@
   boost::system::error_code ec;
   auto n = it->to_number<std::int64_t>(ec);
   if (ec || n < min || n > max)
-    throw BadField{place + "." + std::string(key) +
+    throw BadField{path + "." + std::string(key) +
                    ": expected a whole number from " + std::to_string(min) +
                    " to " + std::to_string(max)};
   return n;
 }
 
 static bool flagOr(const json::object &in, std::string_view key, bool def,
-                   const std::string &place) {
+                   const std::string &path) {
   const json::value *it =
       in.if_contains(json::string_view(key.data(), key.size()));
   if (!it)
     return def;
   if (!it->is_bool())
-    throw BadField{place + "." + std::string(key) + ": expected true or false"};
+    throw BadField{path + "." + std::string(key) + ": expected true or false"};
   return it->get_bool();
 }
 
-static Labels readLabels(const json::object &in, const std::string &place) {
+static Labels readLabels(const json::object &in, const std::string &path) {
   Labels labels;
   const json::value *it = in.if_contains("labels");
   if (!it)
     return labels;
-  for (const auto &label : asObject(*it, place + ".labels")) {
+  for (const auto &label : asObject(*it, path + ".labels")) {
     if (!label.value().is_string())
-      throw BadField{place + ".labels: expected strings"};
+      throw BadField{path + ".labels: expected strings"};
     labels.emplace(std::string(label.key()),
                    std::string(label.value().get_string()));
   }
@@ -94,54 +94,54 @@
 }
 
 static WorkspaceConfig readWorkspace(const json::object &in,
-                                     const std::string &place) {
-  checkKeys(in, {"key_sha256", "weight", "labels"}, place);
+                                     const std::string &path) {
+  checkKeys(in, {"key_sha256", "weight", "labels"}, path);
   WorkspaceConfig out;
-  out.KeyHash = textOr(in, "key_sha256", "", place);
+  out.KeyHash = textOr(in, "key_sha256", "", path);
   out.Weight =
-      static_cast<std::uint32_t>(numberOr(in, "weight", 1, 1, 1000, place));
-  out.OwnLabels = readLabels(in, place);
+      static_cast<std::uint32_t>(numberOr(in, "weight", 1, 1, 1000, path));
+  out.OwnLabels = readLabels(in, path);
   return out;
 }
 
 static ServiceConfig readService(const json::object &in,
-                                 const std::string &place) {
-  checkKeys(in, {"kind", "repeatable", "labels"}, place);
+                                 const std::string &path) {
+  checkKeys(in, {"kind", "repeatable", "labels"}, path);
   ServiceConfig out;
-  std::string kind = textOr(in, "kind", "plain", place);
+  std::string kind = textOr(in, "kind", "plain", path);
   if (kind != "plain" && kind != "model")
-    throw BadField{place + ".kind: expected \"plain\" or \"model\""};
+    throw BadField{path + ".kind: expected \"plain\" or \"model\""};
   out.Kind = kind == "model" ? ServiceKind::Model : ServiceKind::Plain;
   out.IsRepeatable =
-      flagOr(in, "repeatable", out.Kind == ServiceKind::Model, place);
-  out.OwnLabels = readLabels(in, place);
+      flagOr(in, "repeatable", out.Kind == ServiceKind::Model, path);
+  out.OwnLabels = readLabels(in, path);
   return out;
 }
 
-static EventConfig readEvent(const json::object &in, const std::string &place) {
+static EventConfig readEvent(const json::object &in, const std::string &path) {
   constexpr std::int64_t LatestUnix = 32503680000; // the year 3000
   constexpr std::int64_t LongestSeconds = 604800;  // a week
   checkKeys(in, {"start_unix", "duration_s", "selector", "priority", "labels"},
-            place);
+            path);
   EventConfig out;
-  out.StartUnix = numberOr(in, "start_unix", 0, 0, LatestUnix, place);
+  out.StartUnix = numberOr(in, "start_unix", 0, 0, LatestUnix, path);
   out.DurationSeconds = static_cast<std::uint32_t>(
-      numberOr(in, "duration_s", 3600, 1, LongestSeconds, place));
-  out.Selector = textOr(in, "selector", "", place);
+      numberOr(in, "duration_s", 3600, 1, LongestSeconds, path));
+  out.Selector = textOr(in, "selector", "", path);
   if (Result<Selector> selector = Selector::parse(out.Selector); !selector)
-    throw BadField{place + ".selector: " + selector.error().Detail};
+    throw BadField{path + ".selector: " + selector.error().Detail};
   out.Priority =
-      static_cast<std::uint32_t>(numberOr(in, "priority", 1, 0, 10, place));
-  out.OwnLabels = readLabels(in, place);
+      static_cast<std::uint32_t>(numberOr(in, "priority", 1, 0, 10, path));
+  out.OwnLabels = readLabels(in, path);
   return out;
 }
 
-static AuditEntry readAudit(const json::object &in, const std::string &place) {
+static AuditEntry readAudit(const json::object &in, const std::string &path) {
   AuditEntry out;
-  out.AtUnix = numberOr(in, "at_unix", 0, 0, INT64_MAX, place);
-  out.Operator = textOr(in, "operator", "", place);
-  out.ChangeId = textOr(in, "change_id", "", place);
-  out.Change = textOr(in, "change", "", place);
+  out.AtUnix = numberOr(in, "at_unix", 0, 0, INT64_MAX, path);
+  out.Operator = textOr(in, "operator", "", path);
+  out.ChangeId = textOr(in, "change_id", "", path);
+  out.Change = textOr(in, "change", "", path);
   return out;
 }
 
@@ -155,8 +155,8 @@
     return;
   for (const auto &member : asObject(*it, std::string(key))) {
     std::string name(member.key());
-    std::string place = std::string(key) + "." + name;
-    out.emplace(name, read(asObject(member.value(), place), place));
+    std::string path = std::string(key) + "." + name;
+    out.emplace(name, read(asObject(member.value(), path), path));
   }
 }
 
--- a/lib/Config/ConfigWriter.cpp
+++ b/lib/Config/ConfigWriter.cpp
@@ -13,10 +13,10 @@
 
 using namespace ospreyspur;
 
-static constexpr Duration RetryPause = std::chrono::milliseconds(100);
+static constexpr Duration RetryDelay = std::chrono::milliseconds(100);
 
 ConfigWriter::Step ConfigWriter::next(TimePoint now) {
-  if (Now == Stage::Ended)
+  if (CurrentStage == Stage::Ended)
     return Result;
   if (now >= Deadline) {
     if (IsInDoubt)
@@ -26,10 +26,10 @@
       end(ResultCode::PlatformUnavailable, "the platform did not answer");
     return Result;
   }
-  switch (Now) {
+  switch (CurrentStage) {
   case Stage::Pausing:
-    Now = Stage::Reading;
-    return Pause{RetryPause};
+    CurrentStage = Stage::Reading;
+    return Pause{RetryDelay};
   case Stage::Writing:
     return KvPut{std::string(ConfigKey), NextDocument, ReadAt, {}};
   default:
@@ -38,7 +38,7 @@
 }
 
 void ConfigWriter::onReply(const KvReply &reply) {
-  if (Now == Stage::Reading)
+  if (CurrentStage == Stage::Reading)
     onRead(reply);
   else
     onWritten(reply);
@@ -46,7 +46,7 @@
 
 void ConfigWriter::onRead(const KvReply &reply) {
   if (reply.Code != ResultCode::Ok && reply.Code != ResultCode::NotFound) {
-    Now = Stage::Pausing;
+    CurrentStage = Stage::Pausing;
     return;
   }
   std::string text = reply.Code == ResultCode::Ok ? reply.Value : "{}";
@@ -54,14 +54,14 @@
     end(ResultCode::Ok, "", reply.At);
     return;
   }
-  bool isSettled = reply.At != ReadAt;
-  if (isSettled)
+  bool hasOtherRevision = reply.At != ReadAt;
+  if (hasOtherRevision)
     IsInDoubt = false;
   ReadAt = reply.At;
   auto next = applyChange(text, Change);
   if (next) {
     NextDocument = std::move(next.value());
-    Now = Stage::Writing;
+    CurrentStage = Stage::Writing;
     return;
   }
   end(next.error().Code, next.error().Detail);
@@ -73,19 +73,19 @@
     end(ResultCode::Ok, "", reply.At);
     return;
   case ResultCode::PlatformConflict:
-    Now = Stage::Reading;
+    CurrentStage = Stage::Reading;
     return;
   case ResultCode::PlatformRefused:
-    Now = Stage::Pausing;
+    CurrentStage = Stage::Pausing;
     return;
   default:
     IsInDoubt = true;
-    Now = Stage::Pausing;
+    CurrentStage = Stage::Pausing;
     return;
   }
 }
 
 void ConfigWriter::end(ResultCode code, std::string detail, Revision at) {
   Result = {{code, std::move(detail)}, at};
-  Now = Stage::Ended;
+  CurrentStage = Stage::Ended;
 }
--- a/lib/Config/GossipNode.cpp
+++ b/lib/Config/GossipNode.cpp
@@ -20,14 +20,14 @@
   return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(random);
 }
 
-static Duration drawSpread(Duration limit, std::mt19937_64 &random) {
+static Duration drawJitter(Duration limit, std::mt19937_64 &random) {
   return Duration(drawBelow(std::uint64_t(limit.count()) + 1, random));
 }
 
 GossipNode::GossipNode(GossipIdentity self, GossipLimits limits,
                        std::uint64_t seed)
     : Self(std::move(self)), Limits(limits), Random(seed), LeafNumber(Random()),
-      OwnSpread(drawSpread(limits.MaxAgeSpread, Random)),
+      OwnAgeJitter(drawJitter(limits.MaxAgeJitter, Random)),
       Copies{KeyFollower(Self.Keys[0], limits.Follower),
              KeyFollower(Self.Keys[1], limits.Follower)} {}
 
@@ -41,16 +41,16 @@
 
 void GossipNode::setPeers(const std::vector<EndpointView> &peers) {
   Order.clear();
-  FarPeers.clear();
-  OwnPlace.reset();
+  RemotePeers.clear();
+  OwnIndex.reset();
   for (const EndpointView &it : peers) {
     if (it.IsLeaving)
       continue;
-    bool isNear = it.DataCentre == Self.DataCentre;
-    (isNear ? Order : FarPeers).push_back(it.Id);
+    bool isLocal = it.DataCentre == Self.DataCentre;
+    (isLocal ? Order : RemotePeers).push_back(it.Id);
   }
   if (Order.empty())
-    std::swap(Order, FarPeers);
+    std::swap(Order, RemotePeers);
   // All nodes derive the same order from the same list; a host that comes or
   // goes moves few of the others.
   std::sort(Order.begin(), Order.end(),
@@ -60,14 +60,14 @@
             });
   auto own = std::find(Order.begin(), Order.end(), Self.Endpoint);
   if (own != Order.end())
-    OwnPlace = static_cast<std::size_t>(own - Order.begin());
+    OwnIndex = static_cast<std::size_t>(own - Order.begin());
   ParentShift = 0;
   Misses = 0;
   Parent = pickParent();
 }
 
 bool GossipNode::isWatcher() const {
-  return OwnPlace && *OwnPlace < Limits.WatchersPerDataCentre;
+  return OwnIndex && *OwnIndex < Limits.WatchersPerDataCentre;
 }
 
 /// The agent that this node subscribes to; a watcher has none.
@@ -75,24 +75,25 @@
   std::size_t n = Order.size();
   if (n == 0 || isWatcher())
     return std::nullopt;
-  std::size_t place = 0;
-  if (!OwnPlace) {
+  std::size_t index = 0;
+  if (!OwnIndex) {
     // Entries subscribe to agents that have no children in the tree.
     std::size_t firstLeaf = std::min(n / Limits.FanOut + 1, n - 1);
-    place = firstLeaf + LeafNumber % (n - firstLeaf);
+    index = firstLeaf + LeafNumber % (n - firstLeaf);
   } else {
-    place = (*OwnPlace - Limits.WatchersPerDataCentre) / Limits.FanOut;
+    index = (*OwnIndex - Limits.WatchersPerDataCentre) / Limits.FanOut;
   }
-  place = (place + ParentShift) % n;
-  if (OwnPlace == place)
-    place = (place + 1) % n;
-  return Order[place];
+  index = (index + ParentShift) % n;
+  if (OwnIndex == index)
+    index = (index + 1) % n;
+  return Order[index];
 }
 
 std::optional<EndpointId> GossipNode::pickRandomPeer() {
-  bool isFar = !FarPeers.empty() &&
-               (isWatcher() || drawBelow(Limits.FarPeerOneIn, Random) == 0);
-  const std::vector<EndpointId> &peers = isFar ? FarPeers : Order;
+  bool isRemote =
+      !RemotePeers.empty() &&
+      (isWatcher() || drawBelow(Limits.RemotePeerOneIn, Random) == 0);
+  const std::vector<EndpointId> &peers = isRemote ? RemotePeers : Order;
   if (peers.empty())
     return std::nullopt;
   const EndpointId &peer = peers[drawBelow(peers.size(), Random)];
@@ -104,7 +105,7 @@
 GossipActions GossipNode::onTimer(TimePoint now) {
   std::erase_if(Subscribers,
                 [now](const auto &it) { return it.second <= now; });
-  askPlatform(now);
+  callStore(now);
   if (now >= NextRound)
     sendDigests(now);
   return takeActions();
@@ -112,10 +113,10 @@
 
 /// Watchers keep a watch open on each key; other nodes read a key once if their
 /// copy is too old.
-void GossipNode::askPlatform(TimePoint now) {
+void GossipNode::callStore(TimePoint now) {
   for (SharedKey key : SharedKeys) {
     KeyFollower &follower = copyOf(key);
-    bool isOld = now - follower.confirmedAt() >= Limits.MaxAge + OwnSpread ||
+    bool isOld = now - follower.confirmedAt() >= Limits.MaxAge + OwnAgeJitter ||
                  follower.revision().get() == 0;
     if (!isWatcher() && !isOld)
       continue;
@@ -124,7 +125,7 @@
     if (!call)
       continue;
     KvCallId id(++LastKvCall);
-    CallsOut.emplace(id, key);
+    CallsInFlight.emplace(id, key);
     Out.push_back(CallPlatformForGossip{{id, std::move(*call)}});
   }
 }
@@ -142,7 +143,7 @@
   if (!isWatcher())
     return next;
   for (const KeyFollower &it : Copies)
-    next = std::min(next, it.gatheredAt().value_or(next));
+    next = std::min(next, it.coalescedAt().value_or(next));
   return next;
 }
 
@@ -150,7 +151,7 @@
   Duration interval = isReady() ? Limits.Interval : Limits.StartInterval;
   auto jitter = interval.count() * JitterPercent / 100;
   NextRound = now + interval - Duration(jitter) +
-              drawSpread(Duration(2 * jitter), Random);
+              drawJitter(Duration(2 * jitter), Random);
   if (Misses >= Limits.MaxMisses) {
     ++ParentShift;
     Misses = 0;
@@ -190,7 +191,7 @@
   }
 }
 
-bool GossipNode::take(const GossipUpdate &update, TimePoint now) {
+bool GossipNode::applyUpdate(const GossipUpdate &update, TimePoint now) {
   return copyOf(update.Key)
       .offer(update.State.At, update.Value, now - update.State.Age);
 }
@@ -201,23 +202,23 @@
   Out.push_back(CopyChanged{key});
   for (const auto &[link, until] : Subscribers)
     if (link != except)
-      Out.push_back(AnswerUpdate{link, makeUpdate(key, now)});
+      Out.push_back(ReplyUpdate{link, makeUpdate(key, now)});
 }
 
 GossipActions GossipNode::onKvReply(KvCallId id, const KvReply &reply,
                                     TimePoint now) {
-  auto it = CallsOut.find(id);
-  if (it == CallsOut.end())
+  auto it = CallsInFlight.find(id);
+  if (it == CallsInFlight.end())
     return takeActions();
   SharedKey key = it->second;
-  CallsOut.erase(it);
+  CallsInFlight.erase(it);
   if (copyOf(key).onReply(reply, now))
     announce(key, std::nullopt, now);
   // If the store did not hold the watch, the next call waits for the next
   // round.
-  bool wasHeld = now - copyOf(key).askedAt() >= watchWait() / 2;
+  bool wasHeld = now - copyOf(key).calledAt() >= watchWait() / 2;
   if (isWatcher() && (reply.Code == ResultCode::Ok || wasHeld))
-    askPlatform(now);
+    callStore(now);
   return takeActions();
 }
 
@@ -237,27 +238,28 @@
   for (SharedKey key : SharedKeys) {
     const CopyState &theirs = digest.Copies[static_cast<std::size_t>(key)];
     if (theirs.At < copy(key).revision())
-      Out.push_back(AnswerUpdate{from, makeUpdate(key, now)});
+      Out.push_back(ReplyUpdate{from, makeUpdate(key, now)});
   }
   // The reply also shows a sender with newer copies which of them to send.
-  Out.push_back(AnswerDigest{from, makeDigest(isSubscribed, now)});
+  Out.push_back(ReplyDigest{from, makeDigest(isSubscribed, now)});
   return takeActions();
 }
 
 GossipActions GossipNode::onMessage(LinkId from, const GossipUpdate &update,
                                     TimePoint now) {
-  if (take(update, now))
+  if (applyUpdate(update, now))
     announce(update.Key, from, now);
   return takeActions();
 }
 
-GossipActions GossipNode::onAnswer(const EndpointId &from,
-                                   const GossipDigest &digest, TimePoint now) {
+GossipActions GossipNode::onPeerReply(const EndpointId &from,
+                                      const GossipDigest &digest,
+                                      TimePoint now) {
   // A parent that accepts no more subscribers counts as one that does not
   // reply.
   if (from == Parent)
     Misses = digest.IsSubscription ? 0 : Limits.MaxMisses;
-  Answered.insert(from);
+  PeersReplied.insert(from);
   confirmFrom(digest, now);
   for (SharedKey key : SharedKeys) {
     const CopyState &theirs = digest.Copies[static_cast<std::size_t>(key)];
@@ -267,17 +269,18 @@
   return takeActions();
 }
 
-GossipActions GossipNode::onAnswer(const EndpointId & /*from*/,
-                                   const GossipUpdate &update, TimePoint now) {
-  if (take(update, now))
+GossipActions GossipNode::onPeerReply(const EndpointId & /*from*/,
+                                      const GossipUpdate &update,
+                                      TimePoint now) {
+  if (applyUpdate(update, now))
     announce(update.Key, std::nullopt, now);
   return takeActions();
 }
 
 bool GossipNode::isReady() const {
-  std::size_t peers = Order.size() + FarPeers.size();
+  std::size_t peers = Order.size() + RemotePeers.size();
   bool hasPeers =
-      peers > 0 && Answered.size() >= std::min(peers, Limits.PeersToStart);
+      peers > 0 && PeersReplied.size() >= std::min(peers, Limits.PeersToStart);
   return std::all_of(Copies.begin(), Copies.end(), [&](const auto &it) {
     return it.revision().get() > 0 && (it.hasReadService() || hasPeers);
   });
--- a/lib/Config/KeyFollower.cpp
+++ b/lib/Config/KeyFollower.cpp
@@ -11,12 +11,12 @@
 using namespace ospreyspur;
 
 std::optional<KvCall> KeyFollower::nextCall(Duration wait, TimePoint now) {
-  if (IsWaiting || now < std::max(PausedUntil, GatherUntil.value_or(now)))
+  if (IsWaiting || now < std::max(BackoffUntil, CoalesceUntil.value_or(now)))
     return std::nullopt;
-  GatherUntil.reset();
+  CoalesceUntil.reset();
   IsWaiting = true;
-  AskedAt = now;
-  AskedFor = At;
+  CalledAt = now;
+  RevisionAtCall = At;
   return KvWatch{Key, std::max(SeenAt, At), wait};
 }
 
@@ -25,27 +25,27 @@
   bool isNewer = reply.Code == ResultCode::Ok;
   // NotFound means that the store has no newer value.
   if (!isNewer && reply.Code != ResultCode::NotFound) {
-    Pause = std::clamp(Pause * 2, Limits.MinPause, Limits.MaxPause);
-    PausedUntil = now + Pause;
+    Backoff = std::clamp(Backoff * 2, Limits.MinBackoff, Limits.MaxBackoff);
+    BackoffUntil = now + Backoff;
     return false;
   }
-  Pause = Duration::zero();
+  Backoff = Duration::zero();
   HasReadService = true;
   SeenAt = std::max(SeenAt, reply.SeenAt);
   // The store held the value at or after the time of the call.
   if (isNewer) {
-    noteNews(now);
-    return offer(reply.At, reply.Value, AskedAt);
+    recordUpdate(now);
+    return offer(reply.At, reply.Value, CalledAt);
   }
-  confirm(AskedFor, AskedAt);
+  confirm(RevisionAtCall, CalledAt);
   return false;
 }
 
-void KeyFollower::noteNews(TimePoint now) {
-  bool isAlone = !NewsAt || now - *NewsAt >= Limits.Apart;
-  NewsAt = now;
-  if (!isAlone)
-    GatherUntil = now + Limits.Gather;
+void KeyFollower::recordUpdate(TimePoint now) {
+  bool isIsolated = !UpdatedAt || now - *UpdatedAt >= Limits.BurstGap;
+  UpdatedAt = now;
+  if (!isIsolated)
+    CoalesceUntil = now + Limits.CoalesceDelay;
 }
 
 bool KeyFollower::offer(Revision at, const std::string &value,
--- a/lib/Config/Selector.cpp
+++ b/lib/Config/Selector.cpp
@@ -73,9 +73,9 @@
 bool Selector::matches(const Labels &labels) const {
   auto holds = [&labels](const Requirement &it) {
     auto label = labels.find(it.Key);
-    bool isThere = label != labels.end();
+    bool isPresent = label != labels.end();
     bool isMatch =
-        isThere && (it.Values.empty() || it.Values.contains(label->second));
+        isPresent && (it.Values.empty() || it.Values.contains(label->second));
     return isMatch != it.IsNegated;
   };
   return std::all_of(Requirements.begin(), Requirements.end(), holds);
--- a/lib/Config/Settings.cpp
+++ b/lib/Config/Settings.cpp
@@ -159,7 +159,7 @@
 }
 
 /// What a planned stop leaves of the platform's grace for the end itself.
-static constexpr double StopPart = 0.93;
+static constexpr double StopGraceFraction = 0.93;
 
 DirectSettings ospreyspur::readDirectSettings(SettingsReader &reader) {
   DirectSettings out;
@@ -189,10 +189,10 @@
   constexpr double DefaultGrace = 8;
   constexpr double MaxGrace = 3600;
   out.StopLimit = secondsToDuration(
-      StopPart * reader.readFraction("direct.grace_s", DefaultGrace, 1,
-                                     MaxGrace,
-                                     "from SIGTERM until the process is "
-                                     "killed"));
+      StopGraceFraction *
+      reader.readFraction("direct.grace_s", DefaultGrace, 1, MaxGrace,
+                          "from SIGTERM until the process is "
+                          "killed"));
   RetryBounds &retries = out.Retries;
   retries.Ratio =
       reader.readFraction("direct.retry_ratio", retries.Ratio, 0, 10,
--- a/lib/Control/ControlPlane.cpp
+++ b/lib/Control/ControlPlane.cpp
@@ -19,7 +19,7 @@
 static constexpr Duration CallTimeout = std::chrono::seconds(2);
 /// Links to random peers are rarely used again, so unused ones are closed after
 /// this time.
-static constexpr Duration KeepUnusedLinks = std::chrono::seconds(10);
+static constexpr Duration UnusedLinkTimeout = std::chrono::seconds(10);
 
 ControlPlane::ControlPlane(boost::asio::io_context &ioc,
                            PlatformClient &platform, const GossipIdentity &self,
@@ -29,7 +29,7 @@
       Node(self, GossipLimits(), seed), Timer(ioc, [this] { onTimer(); }),
       EventTimer(ioc),
       Peers(ioc, {[this](const EndpointId &from, const Message &message) {
-                    onAnswer(from, message);
+                    onPeerReply(from, message);
                   },
                   [](const EndpointId &) {}}) {
   // Until the host list is known, an agent's address serves as its endpoint id.
@@ -48,7 +48,7 @@
 
 void ControlPlane::onTimer() {
   TimePoint now = monotonicNow();
-  Peers.closeUnused(now - KeepUnusedLinks);
+  Peers.closeUnused(now - UnusedLinkTimeout);
   apply(Node.onTimer(now));
 }
 
@@ -69,11 +69,11 @@
   Peers.send(action.To, action.Body, monotonicNow());
 }
 
-void ControlPlane::perform(const AnswerDigest &action) {
+void ControlPlane::perform(const ReplyDigest &action) {
   Handlers.Answer(action.To, action.Body);
 }
 
-void ControlPlane::perform(const AnswerUpdate &action) {
+void ControlPlane::perform(const ReplyUpdate &action) {
   Handlers.Answer(action.To, action.Body);
 }
 
@@ -87,9 +87,9 @@
 
 void ControlPlane::perform(const CopyChanged &action) {
   if (action.Key == SharedKey::Config)
-    takeConfig();
+    applyConfig();
   else
-    takeHosts();
+    applyHosts();
 }
 
 void ControlPlane::onMessage(LinkId from, const Message &message) {
@@ -100,12 +100,12 @@
     apply(Node.onMessage(from, *update, now));
 }
 
-void ControlPlane::onAnswer(const EndpointId &from, const Message &message) {
+void ControlPlane::onPeerReply(const EndpointId &from, const Message &message) {
   TimePoint now = monotonicNow();
   if (const auto *digest = std::get_if<GossipDigest>(&message))
-    apply(Node.onAnswer(from, *digest, now));
+    apply(Node.onPeerReply(from, *digest, now));
   else if (const auto *update = std::get_if<GossipUpdate>(&message))
-    apply(Node.onAnswer(from, *update, now));
+    apply(Node.onPeerReply(from, *update, now));
 }
 
 void ControlPlane::setPeers(const std::vector<EndpointView> &peers) {
@@ -116,7 +116,7 @@
   Node.setPeers(peers);
 }
 
-void ControlPlane::takeConfig() {
+void ControlPlane::applyConfig() {
   Revision at = Node.copy(SharedKey::Config).revision();
   Result<ConfigDocument> document = parseConfig(configText());
   if (!document) {
@@ -133,7 +133,7 @@
   publish();
 }
 
-void ControlPlane::takeHosts() {
+void ControlPlane::applyHosts() {
   const KeyFollower &copy = Node.copy(SharedKey::Hosts);
   Result<std::vector<EndpointView>> endpoints = parseHosts(copy.value());
   if (!endpoints) {
--- a/lib/Control/DirectControl.cpp
+++ b/lib/Control/DirectControl.cpp
@@ -27,7 +27,7 @@
 static constexpr Duration CallTimeout = std::chrono::milliseconds(1000);
 /// Links to random peers are rarely used again, so unused ones are closed after
 /// this time.
-static constexpr Duration KeepUnusedLinks = std::chrono::seconds(10);
+static constexpr Duration UnusedLinkTimeout = std::chrono::seconds(10);
 
 /// Watchers of the key-value store in one data centre. At any moment two of
 /// them may just have crashed and a third may be cut off from the store.
@@ -36,7 +36,7 @@
 /// Longest backoff between two calls while the store does not reply. Within
 /// three seconds after the store is back a process must have the changes that
 /// it missed.
-static constexpr Duration LongestPause = std::chrono::milliseconds(1000);
+static constexpr Duration LongestBackoff = std::chrono::milliseconds(1000);
 
 GossipLimits ospreyspur::makeDirectGossipLimits() {
   GossipLimits limits;
@@ -46,7 +46,7 @@
   // one call.
   limits.WatchWait = std::chrono::milliseconds(1500);
   limits.WatchWaitShare = limits.WatchWait / 2;
-  limits.Follower.MaxPause = LongestPause;
+  limits.Follower.MaxBackoff = LongestBackoff;
   return limits;
 }
 
@@ -83,7 +83,7 @@
                 asio::post(Context, [this, link] { Node.onLinkDown(link); });
               }}),
       Peers(ioc, {[this](const EndpointId &from, const Message &message) {
-                    onAnswer(from, message);
+                    onPeerReply(from, message);
                   },
                   [](const EndpointId &) {}}) {}
 
@@ -91,7 +91,7 @@
   Result<void> listening = Server.listen(Settings.LinkListen);
   if (!listening)
     return listening;
-  usePeers();
+  updatePeers();
   onTimer();
   onRegistryTimer();
   Quarantine.start();
@@ -100,7 +100,7 @@
 
 void DirectControl::onTimer() {
   TimePoint now = monotonicNow();
-  Peers.closeUnused(now - KeepUnusedLinks);
+  Peers.closeUnused(now - UnusedLinkTimeout);
   apply(Node.onTimer(now));
 }
 
@@ -114,7 +114,7 @@
   if (std::optional<KvCall> call = Registry.nextRead(now))
     Platform.call(std::move(*call), CallTimeout, [this](const KvReply &reply) {
       if (Registry.onRead(reply, monotonicNow())) {
-        usePeers();
+        updatePeers();
         publish();
       }
       RegistryTimer.set(Registry.nextTimer());
@@ -147,11 +147,11 @@
   Peers.send(action.To, action.Body, monotonicNow());
 }
 
-void DirectControl::perform(const AnswerDigest &action) {
+void DirectControl::perform(const ReplyDigest &action) {
   Server.send(action.To, action.Body);
 }
 
-void DirectControl::perform(const AnswerUpdate &action) {
+void DirectControl::perform(const ReplyUpdate &action) {
   Server.send(action.To, action.Body);
 }
 
@@ -176,9 +176,9 @@
 
 void DirectControl::perform(const CopyChanged &action) {
   if (action.Key == SharedKey::Config)
-    takeConfig();
+    applyConfig();
   else
-    takeEndpoints();
+    applyEndpoints();
 }
 
 void DirectControl::onMessage(LinkId from, const Message &message) {
@@ -189,17 +189,18 @@
     apply(Node.onMessage(from, *update, now));
 }
 
-void DirectControl::onAnswer(const EndpointId &from, const Message &message) {
+void DirectControl::onPeerReply(const EndpointId &from,
+                                const Message &message) {
   TimePoint now = monotonicNow();
   if (const auto *digest = std::get_if<GossipDigest>(&message))
-    apply(Node.onAnswer(from, *digest, now));
+    apply(Node.onPeerReply(from, *digest, now));
   else if (const auto *update = std::get_if<GossipUpdate>(&message))
-    apply(Node.onAnswer(from, *update, now));
+    apply(Node.onPeerReply(from, *update, now));
 }
 
 /// Uses the registered processes as peers, or those of the settings while no
 /// other process is registered.
-void DirectControl::usePeers() {
+void DirectControl::updatePeers() {
   std::map<EndpointId, std::string> addresses;
   std::vector<EndpointView> views;
   auto add = [&](const std::string &name, const DataCentreId &dataCentre,
@@ -220,7 +221,7 @@
   Node.setPeers(views);
 }
 
-void DirectControl::takeConfig() {
+void DirectControl::applyConfig() {
   const KeyFollower &copy = Node.copy(SharedKey::Config);
   Result<FleetConfig> config = platform::readConfig(copy.value());
   if (!config) {
@@ -238,7 +239,7 @@
   publish();
 }
 
-void DirectControl::takeEndpoints() {
+void DirectControl::applyEndpoints() {
   const KeyFollower &copy = Node.copy(SharedKey::Hosts);
   Result<std::vector<EndpointRecord>> records = parseEndpoints(copy.value());
   if (!records) {
--- a/lib/Control/ListReader.cpp
+++ b/lib/Control/ListReader.cpp
@@ -29,7 +29,7 @@
   if (page.Code != ResultCode::Ok)
     co_return page;
   for (const KvItem &it : page.Items)
-    take(it);
+    applyItem(it);
   SeenAt = std::max(SeenAt, page.SeenAt);
   if (page.Items.empty()) {
     page.Code = ResultCode::NotFound;
@@ -45,12 +45,12 @@
     co_return list;
   Rows.clear();
   for (const KvItem &it : list.Items)
-    take(it);
+    applyItem(it);
   SeenAt = list.SeenAt;
   co_return makeReply();
 }
 
-void ListReader::take(const KvItem &item) {
+void ListReader::applyItem(const KvItem &item) {
   if (item.IsRemoved) {
     Rows.erase(item.Key);
     return;
--- a/lib/Platform/PlatformClient.cpp
+++ b/lib/Platform/PlatformClient.cpp
@@ -22,7 +22,7 @@
 /// Most pages read for one list, in case the store always reports another page.
 static constexpr unsigned MaxPages = 200;
 
-static KvReply failed(ResultCode code) {
+static KvReply makeReply(ResultCode code) {
   KvReply reply;
   reply.Code = code;
   return reply;
@@ -62,12 +62,12 @@
   Result<HttpResponse> response =
       co_await Client.call(std::move(request), timeout);
   if (!response)
-    co_return failed(response.error().Code);
+    co_return makeReply(response.error().Code);
   ResultCode code = platform::readStatus(response.value());
   if (code != ResultCode::Ok)
-    co_return failed(code);
+    co_return makeReply(code);
   Result<KvReply> reply = platform::readItem(response.value());
-  co_return reply ? reply.value() : failed(reply.error().Code);
+  co_return reply ? reply.value() : makeReply(reply.error().Code);
 }
 
 asio::awaitable<KvReply> PlatformClient::put(KvPut call, Duration timeout) {
@@ -78,10 +78,10 @@
         co_await Client.call(std::move(grant), timeout);
     // Nothing was written, and a granted lease without a key expires.
     if (!granted)
-      co_return failed(ResultCode::PlatformRefused);
+      co_return makeReply(ResultCode::PlatformRefused);
     Result<platform::StoreLease> read = platform::readGrant(granted.value());
     if (granted.value().result_int() != 200 || !read)
-      co_return failed(ResultCode::PlatformRefused);
+      co_return makeReply(ResultCode::PlatformRefused);
     lease = read.value();
   }
   platform::StoreWrite write{call.Key, call.Value, call.Expected, lease};
@@ -89,13 +89,13 @@
   Result<HttpResponse> response =
       co_await Client.call(std::move(request), timeout);
   if (!response)
-    co_return failed(response.error().Code);
+    co_return makeReply(response.error().Code);
   KvReply reply;
   reply.Code = platform::readStatus(response.value());
   if (reply.Code == ResultCode::PlatformConflict) {
     Result<KvItem> present = platform::readConflict(response.value());
     if (!present)
-      co_return failed(present.error().Code);
+      co_return makeReply(present.error().Code);
     reply.At = present.value().At;
     reply.Value = present.value().Value;
   }
@@ -103,7 +103,7 @@
     co_return reply;
   Result<Revision> written = platform::readWritten(response.value());
   if (!written)
-    co_return failed(written.error().Code);
+    co_return makeReply(written.error().Code);
   reply.At = written.value();
   if (lease.get() > 0)
     Leases[call.Key] = {reply.At, lease};
@@ -113,13 +113,13 @@
 asio::awaitable<KvReply> PlatformClient::renew(KvRenew call, Duration timeout) {
   auto it = Leases.find(call.Key);
   if (it == Leases.end() || it->second.Holder != call.Holder)
-    co_return failed(ResultCode::NotFound);
+    co_return makeReply(ResultCode::NotFound);
   HttpRequest request = platform::makeKeep(it->second.Lease);
   Result<HttpResponse> response =
       co_await Client.call(std::move(request), timeout);
   if (!response)
-    co_return failed(response.error().Code);
-  KvReply reply = failed(platform::readStatus(response.value()));
+    co_return makeReply(response.error().Code);
+  KvReply reply = makeReply(platform::readStatus(response.value()));
   reply.At = call.Holder;
   if (reply.Code == ResultCode::NotFound)
     Leases.erase(call.Key);
@@ -136,7 +136,7 @@
     co_return co_await get(std::move(present), timeout);
   if (page.Code != ResultCode::Ok)
     co_return page;
-  KvReply reply = failed(ResultCode::NotFound);
+  KvReply reply = makeReply(ResultCode::NotFound);
   reply.SeenAt = page.SeenAt;
   for (KvItem &it : page.Items) {
     if (it.Key != call.Key || it.IsRemoved)
@@ -157,13 +157,13 @@
     Result<HttpResponse> response =
         co_await Client.call(std::move(request), timeout);
     if (!response)
-      co_return failed(response.error().Code);
+      co_return makeReply(response.error().Code);
     ResultCode code = platform::readStatus(response.value());
     if (code != ResultCode::Ok)
-      co_return failed(code);
+      co_return makeReply(code);
     Result<platform::StorePage> page = platform::readPage(response.value());
     if (!page)
-      co_return failed(page.error().Code);
+      co_return makeReply(page.error().Code);
     // The pages are not one snapshot, so a watch must continue after the first.
     if (i == 0)
       reply.SeenAt = page.value().SeenAt;
@@ -181,13 +181,13 @@
   Result<HttpResponse> response =
       co_await Client.call(std::move(request), timeout + call.Wait);
   if (!response)
-    co_return failed(response.error().Code);
-  KvReply reply = failed(platform::readStatus(response.value()));
+    co_return makeReply(response.error().Code);
+  KvReply reply = makeReply(platform::readStatus(response.value()));
   if (reply.Code != ResultCode::Ok)
     co_return reply;
   Result<platform::StorePage> page = platform::readPage(response.value());
   if (!page)
-    co_return failed(page.error().Code);
+    co_return makeReply(page.error().Code);
   reply.SeenAt = page.value().SeenAt;
   reply.Items = std::move(page.value().Items);
   co_return reply;
--- a/unittests/Config/ConfigWriterTest.cpp
+++ b/unittests/Config/ConfigWriterTest.cpp
@@ -28,14 +28,14 @@
 
 namespace {
 /// Simulates operators that change one key concurrently.
-class WriterWorld {
+class WriterSimulation {
 public:
-  explicit WriterWorld(std::uint64_t seed) : Scheduler(seed, 5) {}
+  explicit WriterSimulation(std::uint64_t seed) : Scheduler(seed, 5) {}
 
   RandomScheduler Scheduler;
   /// Every accepted document, in order.
   std::vector<std::string> History{"{}"};
-  std::map<std::string, ResultCode> Told;
+  std::map<std::string, ResultCode> ReportedCodes;
 
   void begin(unsigned writer, unsigned number) {
     if (number == ChangesEach)
@@ -63,7 +63,7 @@
     ConfigWriter::Step next = work->next(Scheduler.now());
     auto again = [=, this] { step(work, writer, number, id); };
     if (auto *done = std::get_if<ConfigWriter::Done>(&next)) {
-      Told[id] = done->Outcome.Code;
+      ReportedCodes[id] = done->Outcome.Code;
       Scheduler.soon([=, this] { begin(writer, number + 1); });
       return;
     }
@@ -112,25 +112,27 @@
 } // namespace
 
 TEST_CASE("concurrent changes are neither lost nor applied twice") {
-  std::map<ResultCode, unsigned> told;
+  std::map<ResultCode, unsigned> codeCounts;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     INFO("seed ", seed);
-    WriterWorld world(seed);
+    WriterSimulation simulation(seed);
     for (unsigned i = 0; i < Writers; ++i)
-      world.begin(i, 0);
-    world.Scheduler.runUntil(world.Scheduler.now() + seconds(60));
-    REQUIRE(world.Told.size() == std::size_t(Writers) * ChangesEach);
-    Result<ConfigDocument> last = parseConfig(world.History.back());
+      simulation.begin(i, 0);
+    simulation.Scheduler.runUntil(simulation.Scheduler.now() + seconds(60));
+    REQUIRE(simulation.ReportedCodes.size() ==
+            std::size_t(Writers) * ChangesEach);
+    Result<ConfigDocument> last = parseConfig(simulation.History.back());
     REQUIRE(last.has_value());
     std::map<std::string, unsigned> accepted;
     for (const AuditEntry &it : last.value().Audit)
       ++accepted[it.ChangeId];
     // Each accepted document adds one change to its predecessor.
-    REQUIRE(last.value().Audit.size() == world.History.size() - 1);
-    for (const auto &it : world.Told) {
+    REQUIRE(last.value().Audit.size() == simulation.History.size() - 1);
+    for (const auto &it : simulation.ReportedCodes) {
       ResultCode code = it.second;
-      INFO("change ", it.first, " reported as ", static_cast<unsigned>(code));
-      ++told[code];
+      INFO("change ", it.first, " whose operator was told code ",
+           static_cast<unsigned>(code));
+      ++codeCounts[code];
       CHECK(accepted[it.first] <= 1);
       if (code == ResultCode::Ok)
         CHECK(accepted[it.first] == 1);
@@ -138,10 +140,10 @@
         CHECK(accepted[it.first] == 0);
     }
   }
-  CHECK(told[ResultCode::Ok] > Seeds * Writers);
-  CHECK(told[ResultCode::ConfigConflict] > Seeds / 10);
-  MESSAGE("accepted ", told[ResultCode::Ok], ", conflicts ",
-          told[ResultCode::ConfigConflict], ", unknown ",
-          told[ResultCode::ConfigUnknownFate], ", unavailable ",
-          told[ResultCode::PlatformUnavailable]);
+  CHECK(codeCounts[ResultCode::Ok] > Seeds * Writers);
+  CHECK(codeCounts[ResultCode::ConfigConflict] > Seeds / 10);
+  MESSAGE("accepted ", codeCounts[ResultCode::Ok], ", conflicts ",
+          codeCounts[ResultCode::ConfigConflict], ", unknown ",
+          codeCounts[ResultCode::ConfigUnknownFate], ", unavailable ",
+          codeCounts[ResultCode::PlatformUnavailable]);
 }
--- a/unittests/Config/GossipTest.cpp
+++ b/unittests/Config/GossipTest.cpp
@@ -23,9 +23,9 @@
 
 namespace {
 /// A fleet without message loss, after its start phase.
-class StartedWorld : public GossipWorld {
+class StartedSimulation : public GossipWorld {
 public:
-  explicit StartedWorld(FleetShape shape) : GossipWorld(1, shape, 0, 0) {
+  explicit StartedSimulation(FleetShape shape) : GossipWorld(1, shape, 0, 0) {
     Scheduler.runUntil(Scheduler.now() + StartTime);
   }
 
@@ -38,7 +38,7 @@
 
 TEST_CASE(
     "a change reaches all nodes at once and only watchers call the store") {
-  StartedWorld world({3, 30, 20});
+  StartedSimulation world({3, 30, 20});
   for (std::size_t d = 0; d < 3; ++d)
     CHECK(world.findWatchers(d).size() == 2);
   CHECK(world.timeInForce("second") < milliseconds(100));
@@ -50,7 +50,7 @@
 }
 
 TEST_CASE("a change is in force in time although both watchers are dead") {
-  StartedWorld world({3, 30, 20});
+  StartedSimulation world({3, 30, 20});
   for (std::size_t it : world.findWatchers(1))
     world.kill(it);
   CHECK(world.timeInForce("second") <= InForceLimit);
@@ -58,20 +58,20 @@
 }
 
 TEST_CASE("nodes read the store themselves if there is no watcher") {
-  StartedWorld world({1, 6, 4});
+  StartedSimulation world({1, 6, 4});
   for (std::size_t it : world.findWatchers(0))
     world.kill(it);
   CHECK(world.timeInForce("second") <= InForceLimit);
 }
 
 TEST_CASE("a data centre cut off from the store gets changes from the others") {
-  StartedWorld world({3, 30, 20});
+  StartedSimulation world({3, 30, 20});
   world.cutFromPlatform(1, seconds(600));
   CHECK(world.timeInForce("second") <= InForceLimit);
 }
 
 TEST_CASE("agents whose parents are frozen learn from others") {
-  StartedWorld world({1, 30, 20});
+  StartedSimulation world({1, 30, 20});
   world.Scheduler.runUntil(world.Scheduler.now() + seconds(10));
   // All but the watchers' first children, so that most parents are silent.
   std::vector<std::size_t> watchers = world.findWatchers(0);
@@ -82,7 +82,7 @@
 }
 
 TEST_CASE("a node that starts during an outage gets its values from peers") {
-  StartedWorld world({2, 6, 4});
+  StartedSimulation world({2, 6, 4});
   world.setOutage(seconds(600));
   std::size_t last = world.Nodes.size() - 1;
   world.kill(last);
@@ -101,14 +101,14 @@
     peers.push_back({EndpointId(it), {}, DataCentreId("d"), "", {}, false});
   node.setPeers(peers);
   for (SharedKey key : SharedKeys)
-    node.onAnswer(EndpointId("e1"),
-                  GossipUpdate{key, {Revision(3), Duration(0)}, "v"}, now);
+    node.onPeerReply(EndpointId("e1"),
+                     GossipUpdate{key, {Revision(3), Duration(0)}, "v"}, now);
   // A single peer may have an outdated copy.
   for (const char *it : {"e1", "e1", "e2"}) {
-    node.onAnswer(EndpointId(it), GossipDigest(), now);
+    node.onPeerReply(EndpointId(it), GossipDigest(), now);
     CHECK_FALSE(node.isReady());
   }
-  node.onAnswer(EndpointId("e3"), GossipDigest(), now);
+  node.onPeerReply(EndpointId("e3"), GossipDigest(), now);
   CHECK(node.isReady());
 }
 
@@ -125,12 +125,12 @@
   CHECK(node.onKvReply(calls[0].Id, {ResultCode::Ok, Revision(6), "six"}, now)
             .empty());
   GossipUpdate older{SharedKey::Config, {Revision(5), Duration(0)}, "five"};
-  CHECK(node.onAnswer(EndpointId("e1"), older, now).empty());
+  CHECK(node.onPeerReply(EndpointId("e1"), older, now).empty());
   CHECK(node.copy(SharedKey::Config).value() == "seven");
 }
 
 /// Injects a random fault, drawn from the world's seed.
-static void breakSomething(GossipWorld &world) {
+static void injectRandomFault(GossipWorld &world) {
   RandomScheduler &random = world.Scheduler;
   std::size_t i = random.below(world.Nodes.size());
   Duration span = milliseconds(random.below(10000));
@@ -138,7 +138,7 @@
   case 0:
     world.kill(i);
     random.at(random.now() + span, [&world, i] {
-      if (world.Nodes[i].Life == 0)
+      if (world.Nodes[i].IncarnationNumber == 0)
         world.start(i);
     });
     return;
@@ -166,7 +166,7 @@
     RandomScheduler &random = world.Scheduler;
     for (int i = 0; i < 8; ++i) {
       random.at(random.now() + milliseconds(random.below(20000)),
-                [&world] { breakSomething(world); });
+                [&world] { injectRandomFault(world); });
       random.at(random.now() + milliseconds(random.below(20000)), [&world, i] {
         world.write(SharedKey::Config, "change " + std::to_string(i));
       });
@@ -215,7 +215,7 @@
   CHECK(follower.nextCall(seconds(1), now));
   now += seconds(2);
   follower.onReply({ResultCode::Ok, Revision(++revision), "v"}, now);
-  CHECK_FALSE(follower.gatheredAt());
+  CHECK_FALSE(follower.coalescedAt());
   CHECK(follower.nextCall(seconds(1), now));
 }
 
@@ -252,7 +252,7 @@
   TimePoint now{std::chrono::hours(1)};
   // The store refuses calls for ten seconds and then works again.
   TimePoint back = now + std::chrono::seconds(10);
-  for (; now < back; now = std::max(now, follower.resumeAt())) {
+  for (; now < back; now = std::max(now, follower.retryAt())) {
     REQUIRE(follower.nextCall(Duration::zero(), now).has_value());
     follower.onReply({ResultCode::PlatformRefused, {}, {}}, now);
   }
--- a/unittests/Config/GossipWorld.cpp
+++ b/unittests/Config/GossipWorld.cpp
@@ -18,7 +18,7 @@
 
 static constexpr Duration CallTimeout = seconds(2);
 static constexpr Duration Step = milliseconds(10);
-static constexpr std::uint64_t NodesPerLife = 4096;
+static constexpr std::uint64_t NodesPerIncarnation = 4096;
 static constexpr std::size_t SeedPeers = 3;
 
 static std::string nameOf(SharedKey key) {
@@ -80,13 +80,13 @@
   node.Machine = std::make_unique<GossipNode>(node.Id, GossipLimits(),
                                               Scheduler.below(1U << 30U));
   node.Machine->setPeers(Seeds);
-  node.Life = ++LastLife;
+  node.IncarnationNumber = ++LastIncarnation;
   node.Seen = {};
   apply(i, node.Machine->onTimer(Scheduler.now()));
 }
 
 void GossipWorld::kill(std::size_t i) {
-  Nodes[i].Life = 0;
+  Nodes[i].IncarnationNumber = 0;
   Nodes[i].Machine.reset();
 }
 
@@ -113,7 +113,7 @@
 
 bool GossipWorld::isInForce(SharedKey key, Revision at) const {
   return std::all_of(Nodes.begin(), Nodes.end(), [&](const Node &it) {
-    return it.Life == 0 || it.Machine->copy(key).revision() >= at;
+    return it.IncarnationNumber == 0 || it.Machine->copy(key).revision() >= at;
   });
 }
 
@@ -129,7 +129,7 @@
   std::vector<std::size_t> out;
   std::size_t first = dataCentre * NodesPerDataCentre;
   for (std::size_t i = first; i < first + NodesPerDataCentre; ++i)
-    if (Nodes[i].Life != 0 && Nodes[i].Machine->isWatcher())
+    if (Nodes[i].IncarnationNumber != 0 && Nodes[i].Machine->isWatcher())
       out.push_back(i);
   return out;
 }
@@ -139,14 +139,15 @@
 }
 
 void GossipWorld::toNode(
-    std::size_t i, std::uint64_t life,
+    std::size_t i, std::uint64_t incarnation,
     const std::function<GossipActions(GossipNode &)> &input) {
   Node &node = Nodes[i];
-  if (life == 0 || node.Life != life)
+  if (incarnation == 0 || node.IncarnationNumber != incarnation)
     return;
   if (Scheduler.now() < node.FrozenUntil) {
-    Scheduler.at(node.FrozenUntil,
-                 [this, i, life, input] { toNode(i, life, input); });
+    Scheduler.at(node.FrozenUntil, [this, i, incarnation, input] {
+      toNode(i, incarnation, input);
+    });
     return;
   }
   apply(i, input(*node.Machine));
@@ -160,10 +161,11 @@
 
 void GossipWorld::setTimer(std::size_t i) {
   TimePoint due = Nodes[i].Machine->nextTimer();
-  Scheduler.at(due, [this, i, life = Nodes[i].Life, due] {
-    if (Nodes[i].Life != life || Nodes[i].Machine->nextTimer() != due)
+  Scheduler.at(due, [this, i, incarnation = Nodes[i].IncarnationNumber, due] {
+    if (Nodes[i].IncarnationNumber != incarnation ||
+        Nodes[i].Machine->nextTimer() != due)
       return;
-    toNode(i, life,
+    toNode(i, incarnation,
            [this](GossipNode &it) { return it.onTimer(Scheduler.now()); });
   });
 }
@@ -177,9 +179,9 @@
 void GossipWorld::dial(std::size_t i, const EndpointId &to, const Body &body) {
   count(i, body);
   std::size_t k = nodeOf(to);
-  LinkId link(Nodes[i].Life * NodesPerLife + i);
+  LinkId link(Nodes[i].IncarnationNumber * NodesPerIncarnation + i);
   Scheduler.unreliably(LossPercent, [this, k, link, body] {
-    toNode(k, Nodes[k].Life, [this, link, body](GossipNode &it) {
+    toNode(k, Nodes[k].IncarnationNumber, [this, link, body](GossipNode &it) {
       return it.onMessage(link, body, Scheduler.now());
     });
   });
@@ -188,12 +190,12 @@
 template <typename Body>
 void GossipWorld::answer(std::size_t i, LinkId to, const Body &body) {
   count(i, body);
-  std::size_t k = to.get() % NodesPerLife;
-  std::uint64_t life = to.get() / NodesPerLife;
+  std::size_t k = to.get() % NodesPerIncarnation;
+  std::uint64_t incarnation = to.get() / NodesPerIncarnation;
   EndpointId from = Nodes[i].Id.Endpoint;
-  Scheduler.unreliably(LossPercent, [this, k, life, from, body] {
-    toNode(k, life, [this, from, body](GossipNode &it) {
-      return it.onAnswer(from, body, Scheduler.now());
+  Scheduler.unreliably(LossPercent, [this, k, incarnation, from, body] {
+    toNode(k, incarnation, [this, from, body](GossipNode &it) {
+      return it.onPeerReply(from, body, Scheduler.now());
     });
   });
 }
@@ -206,17 +208,17 @@
   dial(i, action.To, action.Body);
 }
 
-void GossipWorld::perform(std::size_t i, const AnswerDigest &action) {
+void GossipWorld::perform(std::size_t i, const ReplyDigest &action) {
   answer(i, action.To, action.Body);
 }
 
-void GossipWorld::perform(std::size_t i, const AnswerUpdate &action) {
+void GossipWorld::perform(std::size_t i, const ReplyUpdate &action) {
   answer(i, action.To, action.Body);
 }
 
 void GossipWorld::perform(std::size_t i, const CallPlatformForGossip &action) {
   ++PlatformCalls;
-  HeldWatch watch{i, Nodes[i].Life, action.Request.Id,
+  HeldWatch watch{i, Nodes[i].IncarnationNumber, action.Request.Id,
                   std::get<KvWatch>(action.Request.Call)};
   Scheduler.soon([this, watch] { hold(watch); });
 }
@@ -245,7 +247,8 @@
   Held.push_back(watch);
   Scheduler.at(Scheduler.now() + watch.Call.Wait, [this, watch, nothing] {
     auto isSame = [&](const HeldWatch &held) {
-      return held.Caller == watch.Caller && held.Life == watch.Life &&
+      return held.Caller == watch.Caller &&
+             held.IncarnationNumber == watch.IncarnationNumber &&
              held.Id == watch.Id;
     };
     if (std::erase_if(Held, isSame) > 0)
@@ -262,9 +265,10 @@
 
 void GossipWorld::reply(const HeldWatch &watch, const KvReply &value) {
   Scheduler.soon([this, watch, value] {
-    toNode(watch.Caller, watch.Life, [this, watch, value](GossipNode &it) {
-      return it.onKvReply(watch.Id, value, Scheduler.now());
-    });
+    toNode(watch.Caller, watch.IncarnationNumber,
+           [this, watch, value](GossipNode &it) {
+             return it.onKvReply(watch.Id, value, Scheduler.now());
+           });
   });
 }
 
--- a/unittests/Config/GossipWorld.h
+++ b/unittests/Config/GossipWorld.h
@@ -42,7 +42,7 @@
     GossipIdentity Id;
     std::unique_ptr<GossipNode> Machine;
     /// 0 while the node is dead.
-    std::uint64_t Life = 0;
+    std::uint64_t IncarnationNumber = 0;
     TimePoint FrozenUntil;
     std::array<Revision, SharedKeyCount> Seen;
     std::size_t BytesOut = 0;
@@ -79,28 +79,28 @@
   /// Runs until isInForce(), but at most for \p limit, and returns the elapsed
   /// time.
   Duration awaitInForce(SharedKey key, Revision at, Duration limit);
-  /// The watchers of data centre \p i.
+  /// The watchers of data centre \p dataCentre.
   std::vector<std::size_t> findWatchers(std::size_t dataCentre) const;
 
 private:
   /// A watch that the key-value store holds.
   struct HeldWatch {
     std::size_t Caller;
-    std::uint64_t Life;
+    std::uint64_t IncarnationNumber;
     KvCallId Id;
     KvWatch Call;
   };
 
   std::size_t nodeOf(const EndpointId &id) const;
   bool canReachPlatform(std::size_t i) const;
-  void toNode(std::size_t i, std::uint64_t life,
+  void toNode(std::size_t i, std::uint64_t incarnation,
               const std::function<GossipActions(GossipNode &)> &input);
   void apply(std::size_t i, const GossipActions &actions);
   void setTimer(std::size_t i);
   void perform(std::size_t i, const SendDigestTo &action);
   void perform(std::size_t i, const SendUpdateTo &action);
-  void perform(std::size_t i, const AnswerDigest &action);
-  void perform(std::size_t i, const AnswerUpdate &action);
+  void perform(std::size_t i, const ReplyDigest &action);
+  void perform(std::size_t i, const ReplyUpdate &action);
   void perform(std::size_t i, const CallPlatformForGossip &action);
   void perform(std::size_t i, const CopyChanged &action);
   void count(std::size_t i, const GossipMessage &message);
@@ -118,7 +118,7 @@
   std::map<Revision, std::string> History;
   Revision Last;
   std::list<HeldWatch> Held;
-  std::uint64_t LastLife = 0;
+  std::uint64_t LastIncarnation = 0;
   std::map<std::size_t, TimePoint> CutUntil;
   std::vector<EndpointView> Seeds;
 };
--- a/unittests/Platform/PlatformWireTest.cpp
+++ b/unittests/Platform/PlatformWireTest.cpp
@@ -87,29 +87,29 @@
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1",)"
       R"("slots":12,"state":"ready","cold_left_ms":0,"seq":4,"born":1700})";
   REQUIRE(platform::readEndpoint(makeRow(good)));
-  auto without = [&](const std::string &from, const std::string &to) {
+  auto withReplaced = [&](const std::string &from, const std::string &to) {
     std::string text = good;
     std::size_t at = text.find(from);
     REQUIRE(at != std::string::npos);
     return text.replace(at, from.size(), to);
   };
-  for (const std::string &it : {without(R"("service":"s",)", ""),
-                                without(R"("s")", "7"),
-                                without(R"("address":"10.0.0.1:80",)", ""),
-                                without("10.0.0.1:80", "here"),
-                                without(R"("zone":"a",)", ""),
-                                without(R"("version":"v1",)", ""),
-                                without(R"("slots":12,)", ""),
-                                without("12", R"("12")"),
-                                without("12", "-1"),
-                                without("12", "0"),
-                                without("12", "1.5"),
-                                without("12", "99999999999"),
-                                without(R"("ready")", R"("asleep")"),
-                                without(R"("ready")", "true"),
-                                without(R"("seq":4)", R"("seq":"4")"),
-                                without("1700", R"("1700")"),
-                                without("1700", "1.5"),
+  for (const std::string &it : {withReplaced(R"("service":"s",)", ""),
+                                withReplaced(R"("s")", "7"),
+                                withReplaced(R"("address":"10.0.0.1:80",)", ""),
+                                withReplaced("10.0.0.1:80", "here"),
+                                withReplaced(R"("zone":"a",)", ""),
+                                withReplaced(R"("version":"v1",)", ""),
+                                withReplaced(R"("slots":12,)", ""),
+                                withReplaced("12", R"("12")"),
+                                withReplaced("12", "-1"),
+                                withReplaced("12", "0"),
+                                withReplaced("12", "1.5"),
+                                withReplaced("12", "99999999999"),
+                                withReplaced(R"("ready")", R"("asleep")"),
+                                withReplaced(R"("ready")", "true"),
+                                withReplaced(R"("seq":4)", R"("seq":"4")"),
+                                withReplaced("1700", R"("1700")"),
+                                withReplaced("1700", "1.5"),
                                 std::string("[]"),
                                 std::string("\xff\x00{", 3),
                                 std::string()}) {
@@ -219,8 +219,8 @@
   CHECK(out.find("Authorization") == out.end());
 }
 
-static AnswerVerdict judge(unsigned status,
-                           std::initializer_list<const char *> headers) {
+static AnswerVerdict verdictOf(unsigned status,
+                               std::initializer_list<const char *> headers) {
   HttpResponse response;
   response.result(status);
   for (const char *it : headers) {
@@ -232,20 +232,20 @@
 }
 
 TEST_CASE("only an explicit response of the endpoint shows that nothing ran") {
-  CHECK(judge(200, {"Request-Id:abc", "Replica-Stamp:s"}) ==
+  CHECK(verdictOf(200, {"Request-Id:abc", "Replica-Stamp:s"}) ==
         AnswerVerdict::Own);
-  CHECK(judge(500, {"Request-Id:abc", "Replica-Stamp:s"}) ==
+  CHECK(verdictOf(500, {"Request-Id:abc", "Replica-Stamp:s"}) ==
         AnswerVerdict::Failed);
-  CHECK(judge(503, {"Not-Executed:1"}) == AnswerVerdict::Full);
-  CHECK(judge(421, {}) == AnswerVerdict::OtherEndpoint);
-  CHECK(judge(200, {"Request-Id:xyz", "Replica-Stamp:s"}) ==
+  CHECK(verdictOf(503, {"Not-Executed:1"}) == AnswerVerdict::Full);
+  CHECK(verdictOf(421, {}) == AnswerVerdict::OtherEndpoint);
+  CHECK(verdictOf(200, {"Request-Id:xyz", "Replica-Stamp:s"}) ==
         AnswerVerdict::Foreign);
-  CHECK(judge(200, {"Request-Id:abc"}) == AnswerVerdict::Unusable);
-  CHECK(judge(503, {"Request-Id:abc", "Replica-Stamp:s"}) ==
+  CHECK(verdictOf(200, {"Request-Id:abc"}) == AnswerVerdict::Unusable);
+  CHECK(verdictOf(503, {"Request-Id:abc", "Replica-Stamp:s"}) ==
         AnswerVerdict::Unusable);
-  CHECK(judge(429, {}) == AnswerVerdict::Unusable);
-  CHECK(judge(200, {"Request-Id:abc", "Replica-Stamp:s",
-                    "Content-Encoding:gzip"}) == AnswerVerdict::Unusable);
+  CHECK(verdictOf(429, {}) == AnswerVerdict::Unusable);
+  CHECK(verdictOf(200, {"Request-Id:abc", "Replica-Stamp:s",
+                        "Content-Encoding:gzip"}) == AnswerVerdict::Unusable);
 }
 
 TEST_CASE("refusals by an entry have a Retry-After and no Replica-Stamp") {
@@ -259,38 +259,38 @@
 
 TEST_CASE("a rate limit in a response is parsed; a malformed one has no "
           "effect") {
-  auto askedBy = [](const std::string &rate, unsigned status = 200) {
+  auto rateLimitOf = [](const std::string &rate, unsigned status = 200) {
     HttpResponse answer;
     answer.result(status);
     answer.set("Server-Limit", rate);
     return platform::readAnswer(answer, "r").Asked;
   };
-  CHECK(askedBy("2").RequestsPerSecond == 2.0);
-  CHECK(askedBy("0.25").RequestsPerSecond == 0.25);
-  CHECK(askedBy("0").RequestsPerSecond == 0.0);
-  CHECK(askedBy("2", 503).RequestsPerSecond == 2.0);
-  CHECK(askedBy("1e300").RequestsPerSecond <= 1e6);
+  CHECK(rateLimitOf("2").RequestsPerSecond == 2.0);
+  CHECK(rateLimitOf("0.25").RequestsPerSecond == 0.25);
+  CHECK(rateLimitOf("0").RequestsPerSecond == 0.0);
+  CHECK(rateLimitOf("2", 503).RequestsPerSecond == 2.0);
+  CHECK(rateLimitOf("1e300").RequestsPerSecond <= 1e6);
   for (const char *it : {"", "-1", "-0.5", "nan", "inf", "-inf", "1,2", "one",
                          "1 2", "1e999", "0x", "--1"}) {
     INFO(it);
-    CHECK_FALSE(askedBy(it).RequestsPerSecond);
+    CHECK_FALSE(rateLimitOf(it).RequestsPerSecond);
   }
-  CHECK(askedBy("one").Malformed == "\"one\"");
-  CHECK(askedBy(std::string(9000, 'x')).Malformed.size() < 64);
+  CHECK(rateLimitOf("one").Malformed == "\"one\"");
+  CHECK(rateLimitOf(std::string(9000, 'x')).Malformed.size() < 64);
   HttpResponse twice;
   twice.insert("Server-Limit", "1");
   twice.insert("Server-Limit", "2");
   CHECK_FALSE(platform::readAnswer(twice, "r").Asked.RequestsPerSecond);
   // Status 421 means that another endpoint has the address.
-  CHECK_FALSE(askedBy("2", 421).RequestsPerSecond);
-  CHECK(askedBy("one", 421).Malformed.empty());
+  CHECK_FALSE(rateLimitOf("2", 421).RequestsPerSecond);
+  CHECK(rateLimitOf("one", 421).Malformed.empty());
   CHECK_FALSE(
       platform::readAnswer(HttpResponse(), "r").Asked.RequestsPerSecond);
 }
 
 TEST_CASE("the Retry-After of a refusal is parsed, in seconds or as a date") {
-  auto restOf = [](const std::string &value, unsigned status = 503,
-                   const std::string &date = "") {
+  auto retryAfterOf = [](const std::string &value, unsigned status = 503,
+                         const std::string &date = "") {
     HttpResponse answer;
     answer.result(status);
     answer.set("Not-Executed", "1");
@@ -299,39 +299,40 @@
       answer.set("Date", date);
     return platform::readAnswer(answer, "r").Asked.Rest;
   };
-  CHECK(restOf("3") == Duration(std::chrono::seconds(3)));
-  CHECK(restOf("0.25") == Duration(std::chrono::milliseconds(250)));
-  CHECK(restOf("3", 429) == Duration(std::chrono::seconds(3)));
-  CHECK(restOf("0") == Duration::zero());
-  CHECK(restOf("1e300") == MaxRest);
-  CHECK_FALSE(restOf("3", 200));
-  CHECK_FALSE(restOf("3", 421));
+  CHECK(retryAfterOf("3") == Duration(std::chrono::seconds(3)));
+  CHECK(retryAfterOf("0.25") == Duration(std::chrono::milliseconds(250)));
+  CHECK(retryAfterOf("3", 429) == Duration(std::chrono::seconds(3)));
+  CHECK(retryAfterOf("0") == Duration::zero());
+  CHECK(retryAfterOf("1e300") == MaxRest);
+  CHECK_FALSE(retryAfterOf("3", 200));
+  CHECK_FALSE(retryAfterOf("3", 421));
   static constexpr char Now[] = "Wed, 21 Oct 2015 07:28:00 GMT";
-  CHECK(restOf("Wed, 21 Oct 2015 07:28:05 GMT", 503, Now) ==
+  CHECK(retryAfterOf("Wed, 21 Oct 2015 07:28:05 GMT", 503, Now) ==
         Duration(std::chrono::seconds(5)));
-  CHECK(restOf("Wed, 21 Oct 2015 07:27:00 GMT", 503, Now) == Duration::zero());
+  CHECK(retryAfterOf("Wed, 21 Oct 2015 07:27:00 GMT", 503, Now) ==
+        Duration::zero());
   // Clocks differ, so a date is meaningless without the sender's own date.
-  CHECK_FALSE(restOf("Wed, 21 Oct 2015 07:28:05 GMT"));
+  CHECK_FALSE(retryAfterOf("Wed, 21 Oct 2015 07:28:05 GMT"));
   for (const char *it :
        {"", "-3", "nan", "inf", "soon", "1;2", "3 s", "Wed, 99 Foo 2015"}) {
     INFO(it);
-    CHECK_FALSE(restOf(it, 503, Now));
+    CHECK_FALSE(retryAfterOf(it, 503, Now));
   }
 }
 
 TEST_CASE("only the value 1 of Server-Leaving marks an endpoint as leaving") {
-  auto saysLeaving = [](const std::string &value, unsigned status = 200) {
+  auto leavingOf = [](const std::string &value, unsigned status = 200) {
     HttpResponse answer;
     answer.result(status);
     answer.set("Server-Leaving", value);
     return platform::readAnswer(answer, "r").Asked;
   };
-  CHECK(saysLeaving("1").IsLeaving);
-  CHECK(saysLeaving("1", 503).IsLeaving);
-  CHECK_FALSE(saysLeaving("1", 421).IsLeaving);
+  CHECK(leavingOf("1").IsLeaving);
+  CHECK(leavingOf("1", 503).IsLeaving);
+  CHECK_FALSE(leavingOf("1", 421).IsLeaving);
   for (const char *it : {"", "0", "-1", "nan", "yes", "11", "1,1"}) {
     INFO(it);
-    CHECK_FALSE(saysLeaving(it).IsLeaving);
-    CHECK_FALSE(saysLeaving(it).Malformed.empty());
+    CHECK_FALSE(leavingOf(it).IsLeaving);
+    CHECK_FALSE(leavingOf(it).Malformed.empty());
   }
 }
--- a/unittests/Support/DamagedInputTest.cpp
+++ b/unittests/Support/DamagedInputTest.cpp
@@ -26,9 +26,9 @@
 
 namespace {
 /// Generates damaged versions of a text.
-class Damage {
+class DamageGenerator {
 public:
-  explicit Damage(std::string valid) : Valid(std::move(valid)) {}
+  explicit DamageGenerator(std::string valid) : Valid(std::move(valid)) {}
 
   std::string next() {
     std::string text = Valid;
@@ -72,15 +72,15 @@
 /// Passes damaged versions of \p valid to \p parse and returns how many were
 /// accepted.
 template <typename Parse>
-static int countTaken(const std::string &valid, Parse parse) {
+static int countAccepted(const std::string &valid, Parse parse) {
   REQUIRE(parse(valid));
-  Damage damage(valid);
-  int taken = 0;
+  DamageGenerator damage(valid);
+  int accepted = 0;
   for (int i = 0; i < Rounds; ++i)
-    taken += parse(damage.next());
+    accepted += parse(damage.next());
   // Damage that is never noticed, or always, would test little.
-  CHECK(taken < Rounds);
-  return taken;
+  CHECK(accepted < Rounds);
+  return accepted;
 }
 
 static Ticket makeTicket() {
@@ -100,7 +100,7 @@
   document.Events["dusk"] = {
       1798761600, 60, "team in (x, y), !old", 2, {{"a", "b"}}};
   document.Audit.push_back({1, "ann", "c1", "put workspaces/riders"});
-  countTaken(formatConfig(document), [](const std::string &text) {
+  countAccepted(formatConfig(document), [](const std::string &text) {
     Result<ConfigDocument> read = parseConfig(text);
     if (!read) {
       CHECK_FALSE(read.error().Detail.empty());
@@ -108,49 +108,49 @@
     }
     return parseConfig(formatConfig(read.value())).has_value();
   });
-  countTaken(
+  countAccepted(
       R"([{"endpoint":"e","service":"s","data_centre":"d",)"
       R"("agent":"127.0.0.1:1","group":"g","state":"leaving"}])",
       [](const std::string &text) { return parseHosts(text).has_value(); });
 }
 
 TEST_CASE("damaged selectors and settings give a value or an error") {
-  countTaken("team in (x, y), town != perth, !old, depot",
-             [](const std::string &text) {
-               return Selector::parse(text).has_value();
-             });
-  countTaken("[process]\ndata_centre = osborne\nplatform = 127.0.0.1:7000\n"
-             "peers = 127.0.0.1:1, 127.0.0.1:2\n[entry]\n"
-             "listen = 127.0.0.1:7301\nprobe_timeout_ms = 50\n",
-             [](const std::string &text) {
-               SettingsReader reader(text, "e.ini");
-               readEntrySettings(reader);
-               reader.finish();
-               return reader.errors().empty();
-             });
+  countAccepted("team in (x, y), town != perth, !old, depot",
+                [](const std::string &text) {
+                  return Selector::parse(text).has_value();
+                });
+  countAccepted("[process]\ndata_centre = osborne\nplatform = 127.0.0.1:7000\n"
+                "peers = 127.0.0.1:1, 127.0.0.1:2\n[entry]\n"
+                "listen = 127.0.0.1:7301\nprobe_timeout_ms = 50\n",
+                [](const std::string &text) {
+                  SettingsReader reader(text, "e.ini");
+                  readEntrySettings(reader);
+                  reader.finish();
+                  return reader.errors().empty();
+                });
 }
 
 TEST_CASE(
     "damaged tickets, claims, maps and records give a value or an error") {
-  countTaken(formatTicket(makeTicket()), [](const std::string &text) {
+  countAccepted(formatTicket(makeTicket()), [](const std::string &text) {
     Result<Ticket> read = parseTicket(text);
     return read && parseTicket(formatTicket(read.value())).has_value();
   });
-  countTaken(
+  countAccepted(
       formatClaim({std::string(64, 'f'), makeTicket()}),
       [](const std::string &text) { return parseClaim(text).has_value(); });
-  countTaken(
+  countAccepted(
       formatMap(makeDealtMap({2, 8, 4, 3})),
       [](const std::string &text) { return parseMap(text).has_value(); });
   GroupRecord record;
   record.Committed.Map = formatMap(makeDealtMap({1, 4, 2, 2}));
-  countTaken(formatRecord(record), [](const std::string &text) {
+  countAccepted(formatRecord(record), [](const std::string &text) {
     return parseRecord(text).has_value();
   });
-  countTaken(formatRankOrder(RankOrder()), [](const std::string &text) {
+  countAccepted(formatRankOrder(RankOrder()), [](const std::string &text) {
     return parseRankOrder(text).has_value();
   });
-  countTaken(formatRankReply(RankReply()), [](const std::string &text) {
+  countAccepted(formatRankReply(RankReply()), [](const std::string &text) {
     return parseRankReply(text).has_value();
   });
 }
