--- a/include/ospreyspur/Config/KeyFollower.h
+++ b/include/ospreyspur/Config/KeyFollower.h
@@ -62,7 +62,7 @@
   /// When the last call was made.
   TimePoint calledAt() const { return CalledAt; }
   /// Whether the store itself has replied at least once.
-  bool hasReadService() const { return HasReadService; }
+  bool hasReadStore() const { return HasReadStore; }
   /// The copy's revision; 0 until there is a value.
   Revision revision() const { return At; }
   /// The copy.
@@ -83,8 +83,8 @@
   /// The revision after which the next watch continues; after a reply of the
   /// store it may be above the copy's revision.
   Revision SeenAt;
-  bool IsWaiting = false;
-  bool HasReadService = false;
+  bool HasCallInFlight = false;
+  bool HasReadStore = false;
   TimePoint BackoffUntil;
   /// When the store last returned a newer value.
   std::optional<TimePoint> UpdatedAt;
--- a/include/ospreyspur/Control/ListReader.h
+++ b/include/ospreyspur/Control/ListReader.h
@@ -32,7 +32,7 @@
   KvReply makeReply() const;
 
   PlatformClient &Platform;
-  std::map<std::string, EndpointRecord> Rows;
+  std::map<std::string, EndpointRecord> Records;
   /// Keys of unreadable records that have been logged.
   std::set<std::string> LoggedKeys;
   /// 0 before the first whole list and after its history was lost.
--- a/lib/Config/GossipNode.cpp
+++ b/lib/Config/GossipNode.cpp
@@ -282,7 +282,7 @@
   bool hasPeers =
       peers > 0 && PeersReplied.size() >= std::min(peers, Limits.PeersToStart);
   return std::all_of(Copies.begin(), Copies.end(), [&](const auto &it) {
-    return it.revision().get() > 0 && (it.hasReadService() || hasPeers);
+    return it.revision().get() > 0 && (it.hasReadStore() || hasPeers);
   });
 }
 
--- a/lib/Config/KeyFollower.cpp
+++ b/lib/Config/KeyFollower.cpp
@@ -11,17 +11,18 @@
 using namespace ospreyspur;
 
 std::optional<KvCall> KeyFollower::nextCall(Duration wait, TimePoint now) {
-  if (IsWaiting || now < std::max(BackoffUntil, CoalesceUntil.value_or(now)))
+  if (HasCallInFlight ||
+      now < std::max(BackoffUntil, CoalesceUntil.value_or(now)))
     return std::nullopt;
   CoalesceUntil.reset();
-  IsWaiting = true;
+  HasCallInFlight = true;
   CalledAt = now;
   RevisionAtCall = At;
   return KvWatch{Key, std::max(SeenAt, At), wait};
 }
 
 bool KeyFollower::onReply(const KvReply &reply, TimePoint now) {
-  IsWaiting = false;
+  HasCallInFlight = false;
   bool isNewer = reply.Code == ResultCode::Ok;
   // NotFound means that the store has no newer value.
   if (!isNewer && reply.Code != ResultCode::NotFound) {
@@ -30,7 +31,7 @@
     return false;
   }
   Backoff = Duration::zero();
-  HasReadService = true;
+  HasReadStore = true;
   SeenAt = std::max(SeenAt, reply.SeenAt);
   // The store held the value at or after the time of the call.
   if (isNewer) {
--- a/lib/Control/ListReader.cpp
+++ b/lib/Control/ListReader.cpp
@@ -43,7 +43,7 @@
   KvReply list = co_await Platform.ask(std::move(call), timeout);
   if (list.Code != ResultCode::Ok)
     co_return list;
-  Rows.clear();
+  Records.clear();
   for (const KvItem &it : list.Items)
     applyItem(it);
   SeenAt = list.SeenAt;
@@ -52,16 +52,16 @@
 
 void ListReader::applyItem(const KvItem &item) {
   if (item.IsRemoved) {
-    Rows.erase(item.Key);
+    Records.erase(item.Key);
     return;
   }
   Result<EndpointRecord> record = platform::readEndpoint(item);
   if (record) {
-    Rows[item.Key] = std::move(record.value());
+    Records[item.Key] = std::move(record.value());
     return;
   }
   // An unreadable record names no endpoint, even if the key named one before.
-  Rows.erase(item.Key);
+  Records.erase(item.Key);
   bool isNew =
       LoggedKeys.size() < MaxLoggedKeys && LoggedKeys.insert(item.Key).second;
   LOG_IF(ERROR, isNew) << LogEvent("endpoint.unreadable")
@@ -74,7 +74,7 @@
 
 KvReply ListReader::makeReply() const {
   std::vector<EndpointRecord> records;
-  for (const auto &[key, record] : Rows)
+  for (const auto &[key, record] : Records)
     records.push_back(record);
   KvReply reply;
   reply.At = SeenAt;
--- a/unittests/Platform/PlatformWireTest.cpp
+++ b/unittests/Platform/PlatformWireTest.cpp
@@ -61,24 +61,24 @@
 }
 
 TEST_CASE("only endpoints whose record has a stage get status queries") {
-  KvItem row;
-  row.Key = std::string(platform::EndpointPrefix) + "i-1";
+  KvItem item;
+  item.Key = std::string(platform::EndpointPrefix) + "i-1";
   const std::string common =
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1",)"
       R"("state":"ready","slots":12,"seq":3)";
-  row.Value = common + "}";
-  REQUIRE(platform::readEndpoint(row));
-  CHECK_FALSE(platform::readEndpoint(row).value().TellsState);
-  row.Value = common + R"(,"stage":"mixed"})";
-  CHECK(platform::readEndpoint(row).value().TellsState);
+  item.Value = common + "}";
+  REQUIRE(platform::readEndpoint(item));
+  CHECK_FALSE(platform::readEndpoint(item).value().TellsState);
+  item.Value = common + R"(,"stage":"mixed"})";
+  CHECK(platform::readEndpoint(item).value().TellsState);
 }
 
 namespace {
-KvItem makeRow(const std::string &value) {
-  KvItem row;
-  row.Key = std::string(platform::EndpointPrefix) + "i-1";
-  row.Value = value;
-  return row;
+KvItem makeItem(const std::string &value) {
+  KvItem item;
+  item.Key = std::string(platform::EndpointPrefix) + "i-1";
+  item.Value = value;
+  return item;
 }
 } // namespace
 
@@ -86,7 +86,7 @@
   const std::string good =
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1",)"
       R"("slots":12,"state":"ready","cold_left_ms":0,"seq":4,"born":1700})";
-  REQUIRE(platform::readEndpoint(makeRow(good)));
+  REQUIRE(platform::readEndpoint(makeItem(good)));
   auto withReplaced = [&](const std::string &from, const std::string &to) {
     std::string text = good;
     std::size_t at = text.find(from);
@@ -114,11 +114,11 @@
                                 std::string("\xff\x00{", 3),
                                 std::string()}) {
     INFO(it);
-    Result<EndpointRecord> read = platform::readEndpoint(makeRow(it));
+    Result<EndpointRecord> read = platform::readEndpoint(makeItem(it));
     REQUIRE_FALSE(read);
     CHECK(read.error().Code == ResultCode::EndpointRowUnreadable);
   }
-  KvItem nameless = makeRow(good);
+  KvItem nameless = makeItem(good);
   nameless.Key = platform::EndpointPrefix;
   CHECK_FALSE(platform::readEndpoint(nameless));
 }
@@ -128,7 +128,7 @@
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1",)"
       R"("slots":12,"state":"ready","seq":4)";
   auto read = [&](const std::string &born) {
-    return platform::readEndpoint(makeRow(head + born + "}")).value();
+    return platform::readEndpoint(makeItem(head + born + "}")).value();
   };
   EndpointRecord first = read(R"(,"born":1700)");
   EndpointRecord second = read(R"(,"born":1701)");
