--- a/lib/Config/ConfigChange.cpp
+++ b/lib/Config/ConfigChange.cpp
@@ -1,7 +1,7 @@
 //===- ConfigChange.cpp - one operator's change ---------------------------===//
 //
-// Works on the JSON form and has parseConfig() judge the whole result, so that
-// no change can leave a document that processes would refuse.
+// Edits the document as JSON and validates the result with parseConfig(), so
+// that no change can produce a document that processes would reject.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,14 +24,14 @@
   return !ec && in.is_object() ? in.get_object() : json::object();
 }
 
-/// The object under a name, or null.
+/// The object \p name of \p section, or null.
 static const json::value *findObject(const json::object &document,
                                      const std::string &section,
                                      const std::string &name) {
-  const json::value *group = document.if_contains(section);
-  if (!group || !group->is_object())
+  const json::value *objects = document.if_contains(section);
+  if (!objects || !objects->is_object())
     return nullptr;
-  return group->get_object().if_contains(name);
+  return objects->get_object().if_contains(name);
 }
 
 std::string ospreyspur::objectTag(const std::string &object) {
@@ -65,27 +65,27 @@
       present ? objectTag(json::serialize(*present)) : std::string(AbsentTag);
   if (change.IfMatch && *change.IfMatch != tag)
     return Error{ResultCode::ConfigConflict,
-                 "the object has tag " + tag + " by now"};
+                 "the object has tag " + tag + " now"};
   if (!change.Body && !present)
     return Error{ResultCode::NotFound, "no such object"};
 
-  json::value &group = document[section];
-  if (!group.is_object())
-    group = json::object();
+  json::value &objects = document[section];
+  if (!objects.is_object())
+    objects = json::object();
   if (change.Body) {
     boost::system::error_code ec;
     json::value body = json::parse(*change.Body, ec);
     if (ec)
       return Error{ResultCode::ConfigInvalid, "not JSON: " + ec.message()};
-    group.get_object()[change.Name] = std::move(body);
+    objects.get_object()[change.Name] = std::move(body);
   } else {
-    group.get_object().erase(change.Name);
+    objects.get_object().erase(change.Name);
   }
   addAuditEntry(document, change);
   std::string next = json::serialize(document);
-  Result<ConfigDocument> judged = parseConfig(next);
-  if (!judged)
-    return judged.error();
+  Result<ConfigDocument> parsed = parseConfig(next);
+  if (!parsed)
+    return parsed.error();
   return next;
 }
 
--- a/lib/Config/KeyFollower.cpp
+++ b/lib/Config/KeyFollower.cpp
@@ -1,4 +1,4 @@
-//===- KeyFollower.cpp - follows one key of the platform ------------------===//
+//===- KeyFollower.cpp - follows one key of the key-value store -----------===//
 //
 // See KeyFollower.h.
 //
@@ -11,41 +11,42 @@
 using namespace ospreyspur;
 
 std::optional<KvCall> KeyFollower::nextCall(Duration wait, TimePoint now) {
-  if (IsWaiting || now < std::max(PausedUntil, GatherUntil.value_or(now)))
+  if (HasCallInFlight ||
+      now < std::max(BackoffUntil, CoalesceUntil.value_or(now)))
     return std::nullopt;
-  GatherUntil.reset();
-  IsWaiting = true;
-  AskedAt = now;
-  AskedFor = At;
+  CoalesceUntil.reset();
+  HasCallInFlight = true;
+  CalledAt = now;
+  RevisionAtCall = At;
   return KvWatch{Key, std::max(SeenAt, At), wait};
 }
 
 bool KeyFollower::onReply(const KvReply &reply, TimePoint now) {
-  IsWaiting = false;
+  HasCallInFlight = false;
   bool isNewer = reply.Code == ResultCode::Ok;
-  // "Not found" says that there was nothing newer.
+  // NotFound means that the store has no newer value.
   if (!isNewer && reply.Code != ResultCode::NotFound) {
-    Pause = std::clamp(Pause * 2, Limits.MinPause, Limits.MaxPause);
-    PausedUntil = now + Pause;
+    Backoff = std::clamp(Backoff * 2, Limits.MinBackoff, Limits.MaxBackoff);
+    BackoffUntil = now + Backoff;
     return false;
   }
-  Pause = Duration::zero();
-  HasReadService = true;
+  Backoff = Duration::zero();
+  HasReadStore = true;
   SeenAt = std::max(SeenAt, reply.SeenAt);
-  // The value is at least as new as the question.
+  // The store held the value at or after the time of the call.
   if (isNewer) {
-    noteNews(now);
-    return offer(reply.At, reply.Value, AskedAt);
+    recordUpdate(now);
+    return offer(reply.At, reply.Value, CalledAt);
   }
-  confirm(AskedFor, AskedAt);
+  confirm(RevisionAtCall, CalledAt);
   return false;
 }
 
-void KeyFollower::noteNews(TimePoint now) {
-  bool isAlone = !NewsAt || now - *NewsAt >= Limits.Apart;
-  NewsAt = now;
-  if (!isAlone)
-    GatherUntil = now + Limits.Gather;
+void KeyFollower::recordUpdate(TimePoint now) {
+  bool isIsolated = !UpdatedAt || now - *UpdatedAt >= Limits.BurstGap;
+  UpdatedAt = now;
+  if (!isIsolated)
+    CoalesceUntil = now + Limits.CoalesceDelay;
 }
 
 bool KeyFollower::offer(Revision at, const std::string &value,
--- a/lib/Control/ControlPlane.cpp
+++ b/lib/Control/ControlPlane.cpp
@@ -1,6 +1,7 @@
-//===- ControlPlane.cpp - the control thread of a process -----------------===//
+//===- ControlPlane.cpp - control thread of a process ---------------------===//
 //
-// Bytes become inputs of the GossipNode, its actions become bytes.
+// Passes messages, replies and timers to the GossipNode and performs the
+// actions that it returns.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,8 +17,9 @@
 using namespace ospreyspur;
 
 static constexpr Duration CallTimeout = std::chrono::seconds(2);
-/// Random peers are rarely asked twice; their links are not kept.
-static constexpr Duration KeepUnusedLinks = std::chrono::seconds(10);
+/// Links to random peers are rarely used again, so unused ones are closed after
+/// this time.
+static constexpr Duration UnusedLinkTimeout = std::chrono::seconds(10);
 
 ControlPlane::ControlPlane(boost::asio::io_context &ioc,
                            PlatformClient &platform, const GossipIdentity &self,
@@ -27,10 +29,10 @@
       Node(self, GossipLimits(), seed), Timer(ioc, [this] { onTimer(); }),
       EventTimer(ioc),
       Peers(ioc, {[this](const EndpointId &from, const Message &message) {
-                    onAnswer(from, message);
+                    onPeerReply(from, message);
                   },
                   [](const EndpointId &) {}}) {
-  // Until the host list is known, an agent's address stands for its name.
+  // Until the host list is known, an agent's address serves as its endpoint id.
   std::vector<EndpointView> first;
   first.reserve(peers.size());
   for (const std::string &it : peers)
@@ -46,14 +48,14 @@
 
 void ControlPlane::onTimer() {
   TimePoint now = monotonicNow();
-  Peers.closeUnused(now - KeepUnusedLinks);
+  Peers.closeUnused(now - UnusedLinkTimeout);
   apply(Node.onTimer(now));
 }
 
 void ControlPlane::apply(const GossipActions &actions) {
   for (const GossipAction &action : actions)
     std::visit([this](const auto &it) { perform(it); }, action);
-  // Answers of peers can make the node ready without a new copy.
+  // Replies of peers can make the node ready without a new copy.
   if (!HasPublished)
     publish();
   Timer.set(Node.nextTimer());
@@ -67,11 +69,11 @@
   Peers.send(action.To, action.Body, monotonicNow());
 }
 
-void ControlPlane::perform(const AnswerDigest &action) {
+void ControlPlane::perform(const ReplyDigest &action) {
   Handlers.Answer(action.To, action.Body);
 }
 
-void ControlPlane::perform(const AnswerUpdate &action) {
+void ControlPlane::perform(const ReplyUpdate &action) {
   Handlers.Answer(action.To, action.Body);
 }
 
@@ -85,9 +87,9 @@
 
 void ControlPlane::perform(const CopyChanged &action) {
   if (action.Key == SharedKey::Config)
-    takeConfig();
+    applyConfig();
   else
-    takeHosts();
+    applyHosts();
 }
 
 void ControlPlane::onMessage(LinkId from, const Message &message) {
@@ -98,12 +100,12 @@
     apply(Node.onMessage(from, *update, now));
 }
 
-void ControlPlane::onAnswer(const EndpointId &from, const Message &message) {
+void ControlPlane::onPeerReply(const EndpointId &from, const Message &message) {
   TimePoint now = monotonicNow();
   if (const auto *digest = std::get_if<GossipDigest>(&message))
-    apply(Node.onAnswer(from, *digest, now));
+    apply(Node.onPeerReply(from, *digest, now));
   else if (const auto *update = std::get_if<GossipUpdate>(&message))
-    apply(Node.onAnswer(from, *update, now));
+    apply(Node.onPeerReply(from, *update, now));
 }
 
 void ControlPlane::setPeers(const std::vector<EndpointView> &peers) {
@@ -114,7 +116,7 @@
   Node.setPeers(peers);
 }
 
-void ControlPlane::takeConfig() {
+void ControlPlane::applyConfig() {
   Revision at = Node.copy(SharedKey::Config).revision();
   Result<ConfigDocument> document = parseConfig(configText());
   if (!document) {
@@ -131,7 +133,7 @@
   publish();
 }
 
-void ControlPlane::takeHosts() {
+void ControlPlane::applyHosts() {
   const KeyFollower &copy = Node.copy(SharedKey::Hosts);
   Result<std::vector<EndpointView>> endpoints = parseHosts(copy.value());
   if (!endpoints) {
@@ -163,7 +165,7 @@
   waitForEvent(now);
 }
 
-/// Publishes anew when an event next starts or ends.
+/// Publishes another snapshot when an event next starts or ends.
 void ControlPlane::waitForEvent(std::int64_t nowUnix) {
   EventTimer.cancel();
   std::optional<std::int64_t> next = findNextEventChange(Document, nowUnix);
--- a/lib/Control/DirectControl.cpp
+++ b/lib/Control/DirectControl.cpp
@@ -1,6 +1,7 @@
 //===- DirectControl.cpp - control thread of the direct path --------------===//
 //
-// Bytes become inputs of the state machines, their actions become bytes.
+// Passes messages, replies and timers to the state machines and performs the
+// actions that they return.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,27 +22,31 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// Beyond the time that the service may hold a watch.
+/// Time limit of a call to the key-value store, in addition to the time for
+/// which the store may hold a watch.
 static constexpr Duration CallTimeout = std::chrono::milliseconds(1000);
-/// Links to random peers are rarely used twice.
-static constexpr Duration KeepUnusedLinks = std::chrono::seconds(10);
+/// Links to random peers are rarely used again, so unused ones are closed after
+/// this time.
+static constexpr Duration UnusedLinkTimeout = std::chrono::seconds(10);
 
-/// Watchers of the store in one data centre: two of them may have died a moment
-/// ago, another may be cut from the store.
+/// Watchers of the key-value store in one data centre. At any moment two of
+/// them may just have crashed and a third may be cut off from the store.
 static constexpr std::size_t WatchersPerDataCentre = 4;
 
-/// Longest pause between two tries while the store does not answer: three
-/// seconds after its return a process has to know what it missed.
-static constexpr Duration LongestPause = std::chrono::milliseconds(1000);
+/// Longest backoff between two calls while the store does not reply. Within
+/// three seconds after the store is back a process must have the changes that
+/// it missed.
+static constexpr Duration LongestBackoff = std::chrono::milliseconds(1000);
 
 GossipLimits ospreyspur::makeDirectGossipLimits() {
   GossipLimits limits;
   limits.WatchersPerDataCentre = WatchersPerDataCentre;
-  // A watch whose answer is lost must end within the time in which a process
-  // has to be in touch again; each watch is one call that is paid for.
+  // A watch whose reply is lost must end within the time limit for reconnecting
+  // to the store. A shorter wait costs more calls, and each watch is billed as
+  // one call.
   limits.WatchWait = std::chrono::milliseconds(1500);
   limits.WatchWaitShare = limits.WatchWait / 2;
-  limits.Follower.MaxPause = LongestPause;
+  limits.Follower.MaxBackoff = LongestBackoff;
   return limits;
 }
 
@@ -78,7 +83,7 @@
                 asio::post(Context, [this, link] { Node.onLinkDown(link); });
               }}),
       Peers(ioc, {[this](const EndpointId &from, const Message &message) {
-                    onAnswer(from, message);
+                    onPeerReply(from, message);
                   },
                   [](const EndpointId &) {}}) {}
 
@@ -86,7 +91,7 @@
   Result<void> listening = Server.listen(Settings.LinkListen);
   if (!listening)
     return listening;
-  usePeers();
+  updatePeers();
   onTimer();
   onRegistryTimer();
   Quarantine.start();
@@ -95,7 +100,7 @@
 
 void DirectControl::onTimer() {
   TimePoint now = monotonicNow();
-  Peers.closeUnused(now - KeepUnusedLinks);
+  Peers.closeUnused(now - UnusedLinkTimeout);
   apply(Node.onTimer(now));
 }
 
@@ -109,7 +114,7 @@
   if (std::optional<KvCall> call = Registry.nextRead(now))
     Platform.call(std::move(*call), CallTimeout, [this](const KvReply &reply) {
       if (Registry.onRead(reply, monotonicNow())) {
-        usePeers();
+        updatePeers();
         publish();
       }
       RegistryTimer.set(Registry.nextTimer());
@@ -142,11 +147,11 @@
   Peers.send(action.To, action.Body, monotonicNow());
 }
 
-void DirectControl::perform(const AnswerDigest &action) {
+void DirectControl::perform(const ReplyDigest &action) {
   Server.send(action.To, action.Body);
 }
 
-void DirectControl::perform(const AnswerUpdate &action) {
+void DirectControl::perform(const ReplyUpdate &action) {
   Server.send(action.To, action.Body);
 }
 
@@ -163,16 +168,17 @@
   auto ask = [this, wait = watch.Wait, onReply]() -> asio::awaitable<void> {
     onReply(co_await Reader.ask(wait, CallTimeout));
   };
-  // The frame of a coroutine lambda dies with the lambda; keep both.
+  // The captures of a coroutine lambda are destroyed with the lambda, so the
+  // lambda is kept alive until the coroutine ends.
   auto kept = std::make_shared<decltype(ask)>(std::move(ask));
   asio::co_spawn(Context, (*kept)(), [kept](const std::exception_ptr &) {});
 }
 
 void DirectControl::perform(const CopyChanged &action) {
   if (action.Key == SharedKey::Config)
-    takeConfig();
+    applyConfig();
   else
-    takeEndpoints();
+    applyEndpoints();
 }
 
 void DirectControl::onMessage(LinkId from, const Message &message) {
@@ -183,16 +189,18 @@
     apply(Node.onMessage(from, *update, now));
 }
 
-void DirectControl::onAnswer(const EndpointId &from, const Message &message) {
+void DirectControl::onPeerReply(const EndpointId &from,
+                                const Message &message) {
   TimePoint now = monotonicNow();
   if (const auto *digest = std::get_if<GossipDigest>(&message))
-    apply(Node.onAnswer(from, *digest, now));
+    apply(Node.onPeerReply(from, *digest, now));
   else if (const auto *update = std::get_if<GossipUpdate>(&message))
-    apply(Node.onAnswer(from, *update, now));
+    apply(Node.onPeerReply(from, *update, now));
 }
 
-/// The registered processes; those of the settings until there are any.
-void DirectControl::usePeers() {
+/// Uses the registered processes as peers, or those of the settings while no
+/// other process is registered.
+void DirectControl::updatePeers() {
   std::map<EndpointId, std::string> addresses;
   std::vector<EndpointView> views;
   auto add = [&](const std::string &name, const DataCentreId &dataCentre,
@@ -213,7 +221,7 @@
   Node.setPeers(views);
 }
 
-void DirectControl::takeConfig() {
+void DirectControl::applyConfig() {
   const KeyFollower &copy = Node.copy(SharedKey::Config);
   Result<FleetConfig> config = platform::readConfig(copy.value());
   if (!config) {
@@ -231,7 +239,7 @@
   publish();
 }
 
-void DirectControl::takeEndpoints() {
+void DirectControl::applyEndpoints() {
   const KeyFollower &copy = Node.copy(SharedKey::Hosts);
   Result<std::vector<EndpointRecord>> records = parseEndpoints(copy.value());
   if (!records) {
--- a/lib/Control/ListReader.cpp
+++ b/lib/Control/ListReader.cpp
@@ -15,8 +15,8 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// Rows that cannot be read are logged once each, and no more of them than
-/// this: whoever writes them may go on doing so.
+/// Each unreadable record is logged once, up to this number of records, because
+/// the process that writes them may continue to do so.
 static constexpr std::size_t MaxLoggedKeys = 100;
 
 asio::awaitable<KvReply> ListReader::ask(Duration wait, Duration timeout) {
@@ -29,7 +29,7 @@
   if (page.Code != ResultCode::Ok)
     co_return page;
   for (const KvItem &it : page.Items)
-    take(it);
+    applyItem(it);
   SeenAt = std::max(SeenAt, page.SeenAt);
   if (page.Items.empty()) {
     page.Code = ResultCode::NotFound;
@@ -43,25 +43,25 @@
   KvReply list = co_await Platform.ask(std::move(call), timeout);
   if (list.Code != ResultCode::Ok)
     co_return list;
-  Rows.clear();
+  Records.clear();
   for (const KvItem &it : list.Items)
-    take(it);
+    applyItem(it);
   SeenAt = list.SeenAt;
   co_return makeReply();
 }
 
-void ListReader::take(const KvItem &item) {
+void ListReader::applyItem(const KvItem &item) {
   if (item.IsRemoved) {
-    Rows.erase(item.Key);
+    Records.erase(item.Key);
     return;
   }
   Result<EndpointRecord> record = platform::readEndpoint(item);
   if (record) {
-    Rows[item.Key] = std::move(record.value());
+    Records[item.Key] = std::move(record.value());
     return;
   }
-  // Whatever stood there before, it names no endpoint now.
-  Rows.erase(item.Key);
+  // An unreadable record names no endpoint, even if the key named one before.
+  Records.erase(item.Key);
   bool isNew =
       LoggedKeys.size() < MaxLoggedKeys && LoggedKeys.insert(item.Key).second;
   LOG_IF(ERROR, isNew) << LogEvent("endpoint.unreadable")
@@ -74,7 +74,7 @@
 
 KvReply ListReader::makeReply() const {
   std::vector<EndpointRecord> records;
-  for (const auto &[key, record] : Rows)
+  for (const auto &[key, record] : Records)
     records.push_back(record);
   KvReply reply;
   reply.At = SeenAt;
--- a/lib/Platform/PlatformClient.cpp
+++ b/lib/Platform/PlatformClient.cpp
@@ -1,8 +1,9 @@
-//===- PlatformClient.cpp - calls on the platform's service ---------------===//
+//===- PlatformClient.cpp - HTTP client of the key-value store ------------===//
 //
-// Composes the nodes' calls of the store's: a leased write is a grant and a
-// write, a list is its pages. GCC 12 destroys aggregates that are built inside
-// an awaiting expression twice; each is given a name first.
+// Maps each KvCall to the requests of the store: a write with a lease is a
+// grant and a write, a list is a sequence of pages. GCC 12 destroys aggregates
+// that are built inside a co_await expression twice, so each aggregate is a
+// named variable.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,10 +19,10 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// Pages of one list; a service that always has more is not followed for ever.
+/// Most pages read for one list, in case the store always reports another page.
 static constexpr unsigned MaxPages = 200;
 
-static KvReply failed(ResultCode code) {
+static KvReply makeReply(ResultCode code) {
   KvReply reply;
   reply.Code = code;
   return reply;
@@ -35,7 +36,8 @@
                       KvCall body) -> asio::awaitable<void> {
     handler(co_await ask(std::move(body), timeout));
   };
-  // The frame of a coroutine lambda dies with the lambda; keep both.
+  // The captures of a coroutine lambda are destroyed with the lambda, so the
+  // lambda is kept alive until the coroutine ends.
   auto kept = std::make_shared<decltype(exchange)>(std::move(exchange));
   asio::co_spawn(Context, (*kept)(std::move(call)),
                  [kept](const std::exception_ptr &) {});
@@ -60,12 +62,12 @@
   Result<HttpResponse> response =
       co_await Client.call(std::move(request), timeout);
   if (!response)
-    co_return failed(response.error().Code);
+    co_return makeReply(response.error().Code);
   ResultCode code = platform::readStatus(response.value());
   if (code != ResultCode::Ok)
-    co_return failed(code);
+    co_return makeReply(code);
   Result<KvReply> reply = platform::readItem(response.value());
-  co_return reply ? reply.value() : failed(reply.error().Code);
+  co_return reply ? reply.value() : makeReply(reply.error().Code);
 }
 
 asio::awaitable<KvReply> PlatformClient::put(KvPut call, Duration timeout) {
@@ -74,12 +76,12 @@
     HttpRequest grant = platform::makeGrant(call.Lease);
     Result<HttpResponse> granted =
         co_await Client.call(std::move(grant), timeout);
-    // A lease without a key ends by itself; nothing was written.
+    // Nothing was written, and a granted lease without a key expires.
     if (!granted)
-      co_return failed(ResultCode::PlatformRefused);
+      co_return makeReply(ResultCode::PlatformRefused);
     Result<platform::StoreLease> read = platform::readGrant(granted.value());
     if (granted.value().result_int() != 200 || !read)
-      co_return failed(ResultCode::PlatformRefused);
+      co_return makeReply(ResultCode::PlatformRefused);
     lease = read.value();
   }
   platform::StoreWrite write{call.Key, call.Value, call.Expected, lease};
@@ -87,13 +89,13 @@
   Result<HttpResponse> response =
       co_await Client.call(std::move(request), timeout);
   if (!response)
-    co_return failed(response.error().Code);
+    co_return makeReply(response.error().Code);
   KvReply reply;
   reply.Code = platform::readStatus(response.value());
   if (reply.Code == ResultCode::PlatformConflict) {
     Result<KvItem> present = platform::readConflict(response.value());
     if (!present)
-      co_return failed(present.error().Code);
+      co_return makeReply(present.error().Code);
     reply.At = present.value().At;
     reply.Value = present.value().Value;
   }
@@ -101,7 +103,7 @@
     co_return reply;
   Result<Revision> written = platform::readWritten(response.value());
   if (!written)
-    co_return failed(written.error().Code);
+    co_return makeReply(written.error().Code);
   reply.At = written.value();
   if (lease.get() > 0)
     Leases[call.Key] = {reply.At, lease};
@@ -111,13 +113,13 @@
 asio::awaitable<KvReply> PlatformClient::renew(KvRenew call, Duration timeout) {
   auto it = Leases.find(call.Key);
   if (it == Leases.end() || it->second.Holder != call.Holder)
-    co_return failed(ResultCode::NotFound);
+    co_return makeReply(ResultCode::NotFound);
   HttpRequest request = platform::makeKeep(it->second.Lease);
   Result<HttpResponse> response =
       co_await Client.call(std::move(request), timeout);
   if (!response)
-    co_return failed(response.error().Code);
-  KvReply reply = failed(platform::readStatus(response.value()));
+    co_return makeReply(response.error().Code);
+  KvReply reply = makeReply(platform::readStatus(response.value()));
   reply.At = call.Holder;
   if (reply.Code == ResultCode::NotFound)
     Leases.erase(call.Key);
@@ -134,7 +136,7 @@
     co_return co_await get(std::move(present), timeout);
   if (page.Code != ResultCode::Ok)
     co_return page;
-  KvReply reply = failed(ResultCode::NotFound);
+  KvReply reply = makeReply(ResultCode::NotFound);
   reply.SeenAt = page.SeenAt;
   for (KvItem &it : page.Items) {
     if (it.Key != call.Key || it.IsRemoved)
@@ -155,14 +157,14 @@
     Result<HttpResponse> response =
         co_await Client.call(std::move(request), timeout);
     if (!response)
-      co_return failed(response.error().Code);
+      co_return makeReply(response.error().Code);
     ResultCode code = platform::readStatus(response.value());
     if (code != ResultCode::Ok)
-      co_return failed(code);
+      co_return makeReply(code);
     Result<platform::StorePage> page = platform::readPage(response.value());
     if (!page)
-      co_return failed(page.error().Code);
-    // Pages are not a snapshot: a watch goes on after the first.
+      co_return makeReply(page.error().Code);
+    // The pages are not one snapshot, so a watch must continue after the first.
     if (i == 0)
       reply.SeenAt = page.value().SeenAt;
     std::move(page.value().Items.begin(), page.value().Items.end(),
@@ -179,13 +181,13 @@
   Result<HttpResponse> response =
       co_await Client.call(std::move(request), timeout + call.Wait);
   if (!response)
-    co_return failed(response.error().Code);
-  KvReply reply = failed(platform::readStatus(response.value()));
+    co_return makeReply(response.error().Code);
+  KvReply reply = makeReply(platform::readStatus(response.value()));
   if (reply.Code != ResultCode::Ok)
     co_return reply;
   Result<platform::StorePage> page = platform::readPage(response.value());
   if (!page)
-    co_return failed(page.error().Code);
+    co_return makeReply(page.error().Code);
   reply.SeenAt = page.value().SeenAt;
   reply.Items = std::move(page.value().Items);
   co_return reply;
--- a/unittests/Config/ConfigWriterTest.cpp
+++ b/unittests/Config/ConfigWriterTest.cpp
@@ -1,8 +1,9 @@
-//===- ConfigWriterTest.cpp - racing operators lose no change -------------===//
+//===- ConfigWriterTest.cpp - concurrent configuration changes ------------===//
 //
-// Operators change the same document at once while the platform loses calls and
-// answers. Each change that was told accepted must stand in the history once,
-// each that was told refused must not.
+// Several operators change the same document concurrently while calls to the
+// key-value store and replies are lost. A change reported as accepted must be
+// in the document's history exactly once; a change reported as rejected must
+// not be in the history.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,15 +27,15 @@
 static constexpr unsigned FaultPercent = 20;
 
 namespace {
-/// Operators at work on one key.
-class WriterWorld {
+/// Simulates operators that change one key concurrently.
+class WriterSimulation {
 public:
-  explicit WriterWorld(std::uint64_t seed) : Scheduler(seed, 5) {}
+  explicit WriterSimulation(std::uint64_t seed) : Scheduler(seed, 5) {}
 
   RandomScheduler Scheduler;
   /// Every accepted document, in order.
   std::vector<std::string> History{"{}"};
-  std::map<std::string, ResultCode> Told;
+  std::map<std::string, ResultCode> ReportedCodes;
 
   void begin(unsigned writer, unsigned number) {
     if (number == ChangesEach)
@@ -62,7 +63,7 @@
     ConfigWriter::Step next = work->next(Scheduler.now());
     auto again = [=, this] { step(work, writer, number, id); };
     if (auto *done = std::get_if<ConfigWriter::Done>(&next)) {
-      Told[id] = done->Outcome.Code;
+      ReportedCodes[id] = done->Outcome.Code;
       Scheduler.soon([=, this] { begin(writer, number + 1); });
       return;
     }
@@ -72,7 +73,8 @@
     }
     KvCall call = std::get<KvCall>(next);
     if (Scheduler.chance(FaultPercent)) {
-      // Lost before or after the effect, which may come late.
+      // The call or its reply is lost. In the second case the write takes
+      // effect, possibly late.
       if (Scheduler.chance(50))
         Scheduler.at(Scheduler.now() + Duration(Scheduler.below(2000000)),
                      [=, this] { perform(call); });
@@ -109,26 +111,28 @@
 };
 } // namespace
 
-TEST_CASE("racing operators lose no change and none stands twice") {
-  std::map<ResultCode, unsigned> told;
+TEST_CASE("concurrent changes are neither lost nor applied twice") {
+  std::map<ResultCode, unsigned> codeCounts;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     INFO("seed ", seed);
-    WriterWorld world(seed);
+    WriterSimulation simulation(seed);
     for (unsigned i = 0; i < Writers; ++i)
-      world.begin(i, 0);
-    world.Scheduler.runUntil(world.Scheduler.now() + seconds(60));
-    REQUIRE(world.Told.size() == std::size_t(Writers) * ChangesEach);
-    Result<ConfigDocument> last = parseConfig(world.History.back());
+      simulation.begin(i, 0);
+    simulation.Scheduler.runUntil(simulation.Scheduler.now() + seconds(60));
+    REQUIRE(simulation.ReportedCodes.size() ==
+            std::size_t(Writers) * ChangesEach);
+    Result<ConfigDocument> last = parseConfig(simulation.History.back());
     REQUIRE(last.has_value());
     std::map<std::string, unsigned> accepted;
     for (const AuditEntry &it : last.value().Audit)
       ++accepted[it.ChangeId];
-    // Each accepted document is its predecessor with one change more.
-    REQUIRE(last.value().Audit.size() == world.History.size() - 1);
-    for (const auto &it : world.Told) {
+    // Each accepted document adds one change to its predecessor.
+    REQUIRE(last.value().Audit.size() == simulation.History.size() - 1);
+    for (const auto &it : simulation.ReportedCodes) {
       ResultCode code = it.second;
-      INFO("change ", it.first, " told ", static_cast<unsigned>(code));
-      ++told[code];
+      INFO("change ", it.first, " whose operator was told code ",
+           static_cast<unsigned>(code));
+      ++codeCounts[code];
       CHECK(accepted[it.first] <= 1);
       if (code == ResultCode::Ok)
         CHECK(accepted[it.first] == 1);
@@ -136,10 +140,10 @@
         CHECK(accepted[it.first] == 0);
     }
   }
-  CHECK(told[ResultCode::Ok] > Seeds * Writers);
-  CHECK(told[ResultCode::ConfigConflict] > Seeds / 10);
-  MESSAGE("accepted ", told[ResultCode::Ok], ", conflicts ",
-          told[ResultCode::ConfigConflict], ", unknown ",
-          told[ResultCode::ConfigUnknownFate], ", unavailable ",
-          told[ResultCode::PlatformUnavailable]);
+  CHECK(codeCounts[ResultCode::Ok] > Seeds * Writers);
+  CHECK(codeCounts[ResultCode::ConfigConflict] > Seeds / 10);
+  MESSAGE("accepted ", codeCounts[ResultCode::Ok], ", conflicts ",
+          codeCounts[ResultCode::ConfigConflict], ", unknown ",
+          codeCounts[ResultCode::ConfigUnknownFate], ", unavailable ",
+          codeCounts[ResultCode::PlatformUnavailable]);
 }
--- a/unittests/Platform/PlatformWireTest.cpp
+++ b/unittests/Platform/PlatformWireTest.cpp
@@ -1,6 +1,7 @@
-//===- PlatformWireTest.cpp - the platform's messages ---------------------===//
+//===- PlatformWireTest.cpp - parsing of the platform's messages ----------===//
 //
-// Good messages read as what they say; damaged ones are numbered errors.
+// Valid messages of the platform and of endpoints are parsed to their values;
+// damaged ones give numbered errors.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +30,7 @@
     R"("limits":{"max_header_bytes":100,"idle_timeout_ms":9000},)"
     R"("tenants":[{"name":"w","api_keys":["k1","k2"],"priority":3}]})";
 
-TEST_CASE("the operators' document reads as routes, services and keys") {
+TEST_CASE("the operators' document is parsed to routes, services and keys") {
   Result<FleetConfig> config = platform::readConfig(Document);
   REQUIRE(config);
   const FleetConfig &it = config.value();
@@ -47,7 +48,7 @@
   CHECK(it.Limits.IdleTimeout == std::chrono::seconds(9));
 }
 
-TEST_CASE("a bad document is a numbered error") {
+TEST_CASE("an invalid document gives a numbered error") {
   for (const char *it :
        {"", "[]", "{}", R"({"version":1,"routes":[1]})",
         R"({"version":1,"routes":[{"prefix":"/","kind":"odd"}]})",
@@ -59,75 +60,75 @@
   }
 }
 
-TEST_CASE("only endpoints that tell a stage can be asked for their condition") {
-  KvItem row;
-  row.Key = std::string(platform::EndpointPrefix) + "i-1";
+TEST_CASE("only endpoints whose record has a stage get status queries") {
+  KvItem item;
+  item.Key = std::string(platform::EndpointPrefix) + "i-1";
   const std::string common =
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1",)"
       R"("state":"ready","slots":12,"seq":3)";
-  row.Value = common + "}";
-  REQUIRE(platform::readEndpoint(row));
-  CHECK_FALSE(platform::readEndpoint(row).value().TellsState);
-  row.Value = common + R"(,"stage":"mixed"})";
-  CHECK(platform::readEndpoint(row).value().TellsState);
+  item.Value = common + "}";
+  REQUIRE(platform::readEndpoint(item));
+  CHECK_FALSE(platform::readEndpoint(item).value().TellsState);
+  item.Value = common + R"(,"stage":"mixed"})";
+  CHECK(platform::readEndpoint(item).value().TellsState);
 }
 
 namespace {
-KvItem makeRow(const std::string &value) {
-  KvItem row;
-  row.Key = std::string(platform::EndpointPrefix) + "i-1";
-  row.Value = value;
-  return row;
+KvItem makeItem(const std::string &value) {
+  KvItem item;
+  item.Key = std::string(platform::EndpointPrefix) + "i-1";
+  item.Value = value;
+  return item;
 }
 } // namespace
 
-TEST_CASE("rows by other writers name no endpoint") {
+TEST_CASE("malformed endpoint records name no endpoint") {
   const std::string good =
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1",)"
       R"("slots":12,"state":"ready","cold_left_ms":0,"seq":4,"born":1700})";
-  REQUIRE(platform::readEndpoint(makeRow(good)));
-  auto without = [&](const std::string &from, const std::string &to) {
+  REQUIRE(platform::readEndpoint(makeItem(good)));
+  auto withReplaced = [&](const std::string &from, const std::string &to) {
     std::string text = good;
     std::size_t at = text.find(from);
     REQUIRE(at != std::string::npos);
     return text.replace(at, from.size(), to);
   };
-  for (const std::string &it : {without(R"("service":"s",)", ""),
-                                without(R"("s")", "7"),
-                                without(R"("address":"10.0.0.1:80",)", ""),
-                                without("10.0.0.1:80", "here"),
-                                without(R"("zone":"a",)", ""),
-                                without(R"("version":"v1",)", ""),
-                                without(R"("slots":12,)", ""),
-                                without("12", R"("12")"),
-                                without("12", "-1"),
-                                without("12", "0"),
-                                without("12", "1.5"),
-                                without("12", "99999999999"),
-                                without(R"("ready")", R"("asleep")"),
-                                without(R"("ready")", "true"),
-                                without(R"("seq":4)", R"("seq":"4")"),
-                                without("1700", R"("1700")"),
-                                without("1700", "1.5"),
+  for (const std::string &it : {withReplaced(R"("service":"s",)", ""),
+                                withReplaced(R"("s")", "7"),
+                                withReplaced(R"("address":"10.0.0.1:80",)", ""),
+                                withReplaced("10.0.0.1:80", "here"),
+                                withReplaced(R"("zone":"a",)", ""),
+                                withReplaced(R"("version":"v1",)", ""),
+                                withReplaced(R"("slots":12,)", ""),
+                                withReplaced("12", R"("12")"),
+                                withReplaced("12", "-1"),
+                                withReplaced("12", "0"),
+                                withReplaced("12", "1.5"),
+                                withReplaced("12", "99999999999"),
+                                withReplaced(R"("ready")", R"("asleep")"),
+                                withReplaced(R"("ready")", "true"),
+                                withReplaced(R"("seq":4)", R"("seq":"4")"),
+                                withReplaced("1700", R"("1700")"),
+                                withReplaced("1700", "1.5"),
                                 std::string("[]"),
                                 std::string("\xff\x00{", 3),
                                 std::string()}) {
     INFO(it);
-    Result<EndpointRecord> read = platform::readEndpoint(makeRow(it));
+    Result<EndpointRecord> read = platform::readEndpoint(makeItem(it));
     REQUIRE_FALSE(read);
     CHECK(read.error().Code == ResultCode::EndpointRowUnreadable);
   }
-  KvItem nameless = makeRow(good);
+  KvItem nameless = makeItem(good);
   nameless.Key = platform::EndpointPrefix;
   CHECK_FALSE(platform::readEndpoint(nameless));
 }
 
-TEST_CASE("the lives of one endpoint are different endpoints of one name") {
+TEST_CASE("incarnations of one endpoint have different ids and the same name") {
   const std::string head =
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1",)"
       R"("slots":12,"state":"ready","seq":4)";
   auto read = [&](const std::string &born) {
-    return platform::readEndpoint(makeRow(head + born + "}")).value();
+    return platform::readEndpoint(makeItem(head + born + "}")).value();
   };
   EndpointRecord first = read(R"(,"born":1700)");
   EndpointRecord second = read(R"(,"born":1701)");
@@ -140,7 +141,7 @@
             .Life == RankLife(1701));
 }
 
-TEST_CASE("damaged messages are errors and never more") {
+TEST_CASE("damaged messages give errors and do not crash") {
   const std::string report =
       R"({"group":{"name":"g","epoch":1,"rank":2,"state":"open"},"size":8,)"
       R"("step":5,"map":1,"prepared":null,"armed":{"version":2,"step":9},)"
@@ -169,7 +170,7 @@
   CHECK_FALSE(status.value().Prepared);
 }
 
-TEST_CASE("base64 survives both ways") {
+TEST_CASE("base64 survives a round trip") {
   for (std::size_t n = 0; n < 70; ++n) {
     std::string bytes;
     for (std::size_t i = 0; i < n; ++i)
@@ -195,7 +196,7 @@
   return request;
 }
 
-TEST_CASE("a request goes on unaltered but for what is one connection's") {
+TEST_CASE("a request is forwarded without its connection-specific headers") {
   HttpRequest request = makeRequest();
   platform::CallerHeaders caller = platform::readCaller(request);
   CHECK(caller.Label == "abc");
@@ -218,8 +219,8 @@
   CHECK(out.find("Authorization") == out.end());
 }
 
-static AnswerVerdict judge(unsigned status,
-                           std::initializer_list<const char *> headers) {
+static AnswerVerdict verdictOf(unsigned status,
+                               std::initializer_list<const char *> headers) {
   HttpResponse response;
   response.result(status);
   for (const char *it : headers) {
@@ -230,24 +231,24 @@
   return platform::readAnswer(response, "abc").Verdict;
 }
 
-TEST_CASE("only the endpoint's word says that nothing ran") {
-  CHECK(judge(200, {"Request-Id:abc", "Replica-Stamp:s"}) ==
+TEST_CASE("only an explicit response of the endpoint shows that nothing ran") {
+  CHECK(verdictOf(200, {"Request-Id:abc", "Replica-Stamp:s"}) ==
         AnswerVerdict::Own);
-  CHECK(judge(500, {"Request-Id:abc", "Replica-Stamp:s"}) ==
+  CHECK(verdictOf(500, {"Request-Id:abc", "Replica-Stamp:s"}) ==
         AnswerVerdict::Failed);
-  CHECK(judge(503, {"Not-Executed:1"}) == AnswerVerdict::Full);
-  CHECK(judge(421, {}) == AnswerVerdict::OtherEndpoint);
-  CHECK(judge(200, {"Request-Id:xyz", "Replica-Stamp:s"}) ==
+  CHECK(verdictOf(503, {"Not-Executed:1"}) == AnswerVerdict::Full);
+  CHECK(verdictOf(421, {}) == AnswerVerdict::OtherEndpoint);
+  CHECK(verdictOf(200, {"Request-Id:xyz", "Replica-Stamp:s"}) ==
         AnswerVerdict::Foreign);
-  CHECK(judge(200, {"Request-Id:abc"}) == AnswerVerdict::Unusable);
-  CHECK(judge(503, {"Request-Id:abc", "Replica-Stamp:s"}) ==
+  CHECK(verdictOf(200, {"Request-Id:abc"}) == AnswerVerdict::Unusable);
+  CHECK(verdictOf(503, {"Request-Id:abc", "Replica-Stamp:s"}) ==
         AnswerVerdict::Unusable);
-  CHECK(judge(429, {}) == AnswerVerdict::Unusable);
-  CHECK(judge(200, {"Request-Id:abc", "Replica-Stamp:s",
-                    "Content-Encoding:gzip"}) == AnswerVerdict::Unusable);
+  CHECK(verdictOf(429, {}) == AnswerVerdict::Unusable);
+  CHECK(verdictOf(200, {"Request-Id:abc", "Replica-Stamp:s",
+                        "Content-Encoding:gzip"}) == AnswerVerdict::Unusable);
 }
 
-TEST_CASE("our own refusals say when to come back and carry no signature") {
+TEST_CASE("refusals by an entry have a Retry-After and no Replica-Stamp") {
   HttpResponse refusal = platform::makeRefusal(
       ResultCode::NoEndpoint, std::chrono::milliseconds(250), "abc");
   CHECK(refusal.result_int() == 503);
@@ -256,40 +257,40 @@
   CHECK(refusal.find("Replica-Stamp") == refusal.end());
 }
 
-TEST_CASE("a rate that an answer names is read; what is no number has no "
+TEST_CASE("a rate limit in a response is parsed; a malformed one has no "
           "effect") {
-  auto askedBy = [](const std::string &rate, unsigned status = 200) {
+  auto rateLimitOf = [](const std::string &rate, unsigned status = 200) {
     HttpResponse answer;
     answer.result(status);
     answer.set("Server-Limit", rate);
     return platform::readAnswer(answer, "r").Asked;
   };
-  CHECK(askedBy("2").RequestsPerSecond == 2.0);
-  CHECK(askedBy("0.25").RequestsPerSecond == 0.25);
-  CHECK(askedBy("0").RequestsPerSecond == 0.0);
-  CHECK(askedBy("2", 503).RequestsPerSecond == 2.0);
-  CHECK(askedBy("1e300").RequestsPerSecond <= 1e6);
+  CHECK(rateLimitOf("2").RequestsPerSecond == 2.0);
+  CHECK(rateLimitOf("0.25").RequestsPerSecond == 0.25);
+  CHECK(rateLimitOf("0").RequestsPerSecond == 0.0);
+  CHECK(rateLimitOf("2", 503).RequestsPerSecond == 2.0);
+  CHECK(rateLimitOf("1e300").RequestsPerSecond <= 1e6);
   for (const char *it : {"", "-1", "-0.5", "nan", "inf", "-inf", "1,2", "one",
                          "1 2", "1e999", "0x", "--1"}) {
     INFO(it);
-    CHECK_FALSE(askedBy(it).RequestsPerSecond);
+    CHECK_FALSE(rateLimitOf(it).RequestsPerSecond);
   }
-  CHECK(askedBy("one").Malformed == "\"one\"");
-  CHECK(askedBy(std::string(9000, 'x')).Malformed.size() < 64);
+  CHECK(rateLimitOf("one").Malformed == "\"one\"");
+  CHECK(rateLimitOf(std::string(9000, 'x')).Malformed.size() < 64);
   HttpResponse twice;
   twice.insert("Server-Limit", "1");
   twice.insert("Server-Limit", "2");
   CHECK_FALSE(platform::readAnswer(twice, "r").Asked.RequestsPerSecond);
-  // Another endpoint has the address.
-  CHECK_FALSE(askedBy("2", 421).RequestsPerSecond);
-  CHECK(askedBy("one", 421).Malformed.empty());
+  // Status 421 means that another endpoint has the address.
+  CHECK_FALSE(rateLimitOf("2", 421).RequestsPerSecond);
+  CHECK(rateLimitOf("one", 421).Malformed.empty());
   CHECK_FALSE(
       platform::readAnswer(HttpResponse(), "r").Asked.RequestsPerSecond);
 }
 
-TEST_CASE("a pause that a refusal asks for is read, in seconds or as a date") {
-  auto restOf = [](const std::string &value, unsigned status = 503,
-                   const std::string &date = "") {
+TEST_CASE("the Retry-After of a refusal is parsed, in seconds or as a date") {
+  auto retryAfterOf = [](const std::string &value, unsigned status = 503,
+                         const std::string &date = "") {
     HttpResponse answer;
     answer.result(status);
     answer.set("Not-Executed", "1");
@@ -298,39 +299,40 @@
       answer.set("Date", date);
     return platform::readAnswer(answer, "r").Asked.Rest;
   };
-  CHECK(restOf("3") == Duration(std::chrono::seconds(3)));
-  CHECK(restOf("0.25") == Duration(std::chrono::milliseconds(250)));
-  CHECK(restOf("3", 429) == Duration(std::chrono::seconds(3)));
-  CHECK(restOf("0") == Duration::zero());
-  CHECK(restOf("1e300") == MaxRest);
-  CHECK_FALSE(restOf("3", 200));
-  CHECK_FALSE(restOf("3", 421));
+  CHECK(retryAfterOf("3") == Duration(std::chrono::seconds(3)));
+  CHECK(retryAfterOf("0.25") == Duration(std::chrono::milliseconds(250)));
+  CHECK(retryAfterOf("3", 429) == Duration(std::chrono::seconds(3)));
+  CHECK(retryAfterOf("0") == Duration::zero());
+  CHECK(retryAfterOf("1e300") == MaxRest);
+  CHECK_FALSE(retryAfterOf("3", 200));
+  CHECK_FALSE(retryAfterOf("3", 421));
   static constexpr char Now[] = "Wed, 21 Oct 2015 07:28:00 GMT";
-  CHECK(restOf("Wed, 21 Oct 2015 07:28:05 GMT", 503, Now) ==
+  CHECK(retryAfterOf("Wed, 21 Oct 2015 07:28:05 GMT", 503, Now) ==
         Duration(std::chrono::seconds(5)));
-  CHECK(restOf("Wed, 21 Oct 2015 07:27:00 GMT", 503, Now) == Duration::zero());
-  // Clocks differ, so a date says nothing by itself.
-  CHECK_FALSE(restOf("Wed, 21 Oct 2015 07:28:05 GMT"));
+  CHECK(retryAfterOf("Wed, 21 Oct 2015 07:27:00 GMT", 503, Now) ==
+        Duration::zero());
+  // Clocks differ, so a date is meaningless without the sender's own date.
+  CHECK_FALSE(retryAfterOf("Wed, 21 Oct 2015 07:28:05 GMT"));
   for (const char *it :
        {"", "-3", "nan", "inf", "soon", "1;2", "3 s", "Wed, 99 Foo 2015"}) {
     INFO(it);
-    CHECK_FALSE(restOf(it, 503, Now));
+    CHECK_FALSE(retryAfterOf(it, 503, Now));
   }
 }
 
-TEST_CASE("an answer says that its endpoint leaves with one word only") {
-  auto saysLeaving = [](const std::string &value, unsigned status = 200) {
+TEST_CASE("only the value 1 of Server-Leaving marks an endpoint as leaving") {
+  auto leavingOf = [](const std::string &value, unsigned status = 200) {
     HttpResponse answer;
     answer.result(status);
     answer.set("Server-Leaving", value);
     return platform::readAnswer(answer, "r").Asked;
   };
-  CHECK(saysLeaving("1").IsLeaving);
-  CHECK(saysLeaving("1", 503).IsLeaving);
-  CHECK_FALSE(saysLeaving("1", 421).IsLeaving);
+  CHECK(leavingOf("1").IsLeaving);
+  CHECK(leavingOf("1", 503).IsLeaving);
+  CHECK_FALSE(leavingOf("1", 421).IsLeaving);
   for (const char *it : {"", "0", "-1", "nan", "yes", "11", "1,1"}) {
     INFO(it);
-    CHECK_FALSE(saysLeaving(it).IsLeaving);
-    CHECK_FALSE(saysLeaving(it).Malformed.empty());
+    CHECK_FALSE(leavingOf(it).IsLeaving);
+    CHECK_FALSE(leavingOf(it).Malformed.empty());
   }
 }
