--- a/include/ospreyspur/Ledger/Ledger.h
+++ b/include/ospreyspur/Ledger/Ledger.h
@@ -1,14 +1,16 @@
-//===- Ledger.h - what ran at an endpoint, and what never will --*- C++ -*-===//
+//===- Ledger.h - records which requests ran at an endpoint -----*- C++ -*-===//
 //
-// The agent's in-memory record of requests. It decides whether a ticket may
-// start a run, and it is the only place that may say "did not run". A ticket is
-// good for one agent incarnation, so a ledger needs no storage and no peers.
+// The agent's in-memory record of requests. The ledger decides whether a ticket
+// may start a run, and only the ledger may declare that a request did not run.
+// A ticket is valid for one agent incarnation, so a ledger needs neither
+// persistent storage nor replication.
 //
-// A record is never dropped while its absence could be misread:
-//  - a withdrawn ticket's record stays until the ticket expires; after that the
-//    expiry alone keeps it from starting;
-//  - a started request's record stays for the retention after both its end and
-//    its ticket's expiry; after that the answer is "cannot tell".
+// A record is kept as long as its absence could be misinterpreted:
+//  - the record of a withdrawn ticket is kept until the ticket expires; after
+//    that the expiry alone prevents a start;
+//  - the record of a started request is kept for the retention time after both
+//    the request's end and the ticket's expiry; after that the ledger reports
+//    that it cannot tell whether the request ran.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,15 +28,15 @@
 
 namespace ospreyspur {
 
-/// Bounds of a ledger.
+/// Limits of a ledger.
 struct LedgerLimits {
-  /// Records of any kind.
+  /// Maximum number of records of any kind.
   std::size_t MaxRecords = 100000;
-  /// Bytes of kept answers.
+  /// Maximum size of all stored responses, in bytes.
   std::size_t MaxAnswerBytes = 64U << 20U;
   /// How long the record of a started request is kept after its end.
   Duration Retention = std::chrono::minutes(10);
-  /// How long the answer to a repeatable request is kept after its end.
+  /// How long the response to a repeatable request is kept after its end.
   Duration RepeatableAnswerRetention = std::chrono::seconds(30);
 };
 
@@ -43,15 +45,15 @@
 public:
   /// What to do with a dispatch.
   enum class Decision {
-    /// First sight: a record was made, run it.
+    /// The ticket is new and was recorded: run the request.
     Start,
-    /// Known: attach to the running or kept answer.
+    /// The ticket is known: attach to the running or stored response.
     Attach,
-    /// Do not run; the code says why and whether it may have run.
+    /// Do not run; the code says why, and whether the request may have run.
     Refuse,
   };
 
-  /// A decision and, for Refuse, its reason.
+  /// A decision and, for Refuse, the reason.
   struct Verdict {
     Decision What = Decision::Refuse;
     ResultCode Code = ResultCode::Ok;
@@ -60,32 +62,32 @@
   /// \p office must outlive the ledger.
   Ledger(const TicketOffice &office, LedgerLimits limits);
 
-  /// Decides about a dispatch of \p ticket; makes a record for Start.
+  /// Decides on a dispatch of \p ticket; adds a record for Start.
   Verdict admit(const Ticket &ticket, bool repeatable, TimePoint now);
 
-  /// Refuses \p ticket for good, unless it is known already.
+  /// Refuses \p ticket permanently, unless the ticket is already known.
   Verdict refuseIfNew(const Ticket &ticket, ResultCode reason, TimePoint now);
 
-  /// Withdraws a record made by admit() whose run has not begun. After this the
-  /// ticket can never start.
+  /// Withdraws a ticket admitted by admit() whose run has not begun. The ticket
+  /// can never start afterwards.
   void withdraw(RequestId id, ResultCode reason, TimePoint now);
 
-  /// Marks the run's end; the answer stays for attaching.
+  /// Records the end of the run; the response remains available for attaching.
   void finish(RequestId id, ResultCode code, TimePoint now);
 
-  /// Appends to the answer of a running request. Errors: AnswerTooLarge when
-  /// the ledger's bytes are used up; the data is not appended then.
+  /// Appends to the response of a running request. Errors: AnswerTooLarge if
+  /// the data would exceed MaxAnswerBytes; the data is not appended then.
   ResultCode append(RequestId id, std::string_view data);
 
-  /// Drops what \p now allows to be dropped.
+  /// Drops records and responses whose retention has ended at \p now.
   void expire(TimePoint now);
 
-  /// The answer of a started request, or null.
+  /// Returns the response of an admitted or finished request, or null.
   StoredAnswer *findAnswer(RequestId id);
 
   /// Number of records held.
   std::size_t size() const { return Records.size(); }
-  /// Bytes of answers held.
+  /// Bytes of responses held.
   std::size_t answerBytes() const { return AnswerBytes; }
 
 private:
@@ -117,8 +119,8 @@
   const TicketOffice &Office;
   LedgerLimits Limits;
   std::map<TicketSequence, Record> Records;
-  /// Tickets up to this number that have no record are void. Raised when there
-  /// is no room to remember a refusal by itself.
+  /// Tickets up to this sequence number that have no record are void. Raised
+  /// when the ledger has no capacity for the record of a single refusal.
   TicketSequence VoidThrough{0};
   std::size_t AnswerBytes = 0;
   std::priority_queue<Expiry, std::vector<Expiry>, std::greater<>> Expiries;
--- a/include/ospreyspur/Ledger/StoredAnswer.h
+++ b/include/ospreyspur/Ledger/StoredAnswer.h
@@ -1,7 +1,7 @@
-//===- StoredAnswer.h - an endpoint's answer, kept by the agent -*- C++ -*-===//
+//===- StoredAnswer.h - a response stored by the agent ----------*- C++ -*-===//
 //
-// Holds an answer while it grows and after it ended, so that an entry that
-// attaches late gets all of it.
+// Holds an endpoint's response during the run and afterwards, so that an entry
+// that attaches late receives the complete response.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +16,7 @@
 
 namespace ospreyspur {
 
-/// The answer of one run.
+/// The response of one run.
 struct StoredAnswer {
   bool HasHead = false;
   std::uint32_t Status = 0;
@@ -28,7 +28,7 @@
   /// Whether the body was dropped to save memory.
   bool Dropped = false;
   ResultCode Code = ResultCode::Ok;
-  /// Which of the endpoint's lives ran it.
+  /// The endpoint's incarnation that ran the request.
   EngineLife Life;
 
   /// The offset just after the last byte.
--- a/include/ospreyspur/Ledger/Ticket.h
+++ b/include/ospreyspur/Ledger/Ticket.h
@@ -1,7 +1,8 @@
 //===- Ticket.h - permission to run one request once ------------*- C++ -*-===//
 //
 // A ticket names the one agent incarnation that may run a request. The agent
-// seals it, so that a caller can neither extend nor forge one.
+// signs each ticket with a MAC, so that a caller can neither extend nor forge
+// one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,19 +22,20 @@
 struct Ticket {
   EndpointId Endpoint;
   RequestId Id;
-  /// On the issuing agent's monotonic clock; meaningless elsewhere.
+  /// Expiry on the issuing agent's monotonic clock; meaningless elsewhere.
   TimePoint Expires;
   WorkspaceId Workspace;
-  /// Keyed hash over all other fields, by the issuer.
+  /// The issuer's message authentication code over all other fields.
   std::string Mac;
 
   friend bool operator==(const Ticket &, const Ticket &) = default;
 };
 
-/// \p ticket as text for headers and for the platform's service.
+/// Returns \p ticket as text for HTTP headers and for the key-value store.
 std::string formatTicket(const Ticket &ticket);
 
-/// Reads formatTicket()'s text. Errors: BadTicket. Checks form, not the seal.
+/// Parses the text written by formatTicket(). Checks the syntax only, not the
+/// MAC. Errors: BadTicket.
 Result<Ticket> parseTicket(std::string_view text);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Ledger/TicketOffice.h
+++ b/include/ospreyspur/Ledger/TicketOffice.h
@@ -1,7 +1,8 @@
-//===- TicketOffice.h - issues and checks an agent's tickets ----*- C++ -*-===//
+//===- TicketOffice.h - issues and verifies tickets -------------*- C++ -*-===//
 //
-// Numbers and seals tickets with a key that lives as long as the agent
-// incarnation. It remembers no ticket: the seal proves that one was issued.
+// Numbers tickets and signs them with a MAC key that exists only as long as the
+// agent's incarnation. Issued tickets are not stored: the MAC proves that a
+// ticket was issued here.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,19 +16,20 @@
 /// Issues the tickets of one agent incarnation.
 class TicketOffice {
 public:
-  /// \p key should hold at least 16 random bytes.
+  /// \p key, the MAC key, should hold at least 16 random bytes.
   TicketOffice(EndpointId endpoint, Incarnation incarnation, std::string key);
 
-  /// A new ticket for \p workspace that may start until \p now + \p validFor.
+  /// Issues a ticket for \p workspace that may start until \p now +
+  /// \p validFor.
   Ticket issue(const WorkspaceId &workspace, Duration validFor, TimePoint now);
 
-  /// Whether this office issued \p ticket, unchanged.
+  /// Whether \p ticket was issued here and not altered since.
   bool isGenuine(const Ticket &ticket) const;
 
-  /// The number of the latest ticket issued.
+  /// The sequence number of the latest ticket issued.
   TicketSequence lastIssued() const { return Last; }
 
-  /// The incarnation that this office belongs to.
+  /// The agent's incarnation whose tickets are issued here.
   Incarnation incarnation() const { return Self; }
 
 private:
--- a/include/ospreyspur/Routing/AgentActions.h
+++ b/include/ospreyspur/Routing/AgentActions.h
@@ -1,6 +1,6 @@
-//===- AgentActions.h - what an AgentNode asks its shell to do --*- C++ -*-===//
+//===- AgentActions.h - actions requested by an AgentNode -------*- C++ -*-===//
 //
-// The outputs of the agent's state machine.
+// The outputs of the agent's state machine, which the process carries out.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,13 +14,13 @@
 
 namespace ospreyspur {
 
-/// Send \c Body to the entry behind \c To.
+/// Send \c Body to the entry on the link \c To.
 struct SendToLink {
   LinkId To;
   Message Body;
 };
 
-/// Begin the request at the endpoint.
+/// Send the request to the endpoint.
 struct StartRun {
   RequestId Id;
   std::string Method;
@@ -31,7 +31,7 @@
   std::uint32_t Priority = 0;
 };
 
-/// End the request at the endpoint; report nothing more of it.
+/// Abort the request at the endpoint. The node ignores further events of it.
 struct StopRun {
   RequestId Id;
 };
--- a/include/ospreyspur/Routing/AgentNode.h
+++ b/include/ospreyspur/Routing/AgentNode.h
@@ -1,10 +1,11 @@
-//===- AgentNode.h - the authority at one endpoint --------------*- C++ -*-===//
+//===- AgentNode.h - admission and runs at one endpoint ---------*- C++ -*-===//
 //
-// The state machine of an agent's traffic side: gate, ledger, fair queue and
-// the answers in progress. It does no I/O: inputs and the time go in, actions
-// come out, and the same inputs give the same actions.
+// The state machine of an agent's traffic side: admission control, ledger, fair
+// queue and the responses in progress. The state machine does no I/O: it takes
+// inputs and the current time and returns actions, and the same inputs give the
+// same actions.
 //
-// Entries may hold stale views of the endpoint; what is decided here holds.
+// Entries may hold stale views of the endpoint; the agent's decision is final.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,99 +31,102 @@
 
 namespace ospreyspur {
 
-/// The bounds an agent keeps at its endpoint.
+/// The limits that an agent enforces at its endpoint.
 struct AgentLimits {
-  /// Requests that run at the endpoint at one time.
+  /// Requests that may run at the endpoint concurrently.
   std::size_t Slots = 16;
-  /// Requests that may wait.
+  /// Requests that may be queued.
   std::size_t MaxQueue = 256;
-  /// Refuse when the expected wait is longer than this.
+  /// Requests with a longer expected wait are refused.
   Duration MaxWait = std::chrono::milliseconds(600);
   LedgerLimits Ledger;
 };
 
-/// Shares of the endpoint by workspace; workspaces not listed weigh 1.
+/// Fair-queueing weights by workspace; unlisted workspaces have weight 1.
 using WorkspaceWeights = std::unordered_map<WorkspaceId, std::uint32_t>;
 
 /// The traffic side of an agent.
 class AgentNode {
 public:
-  /// \p seed feeds the spread of Retry-After; \p key seals tickets.
+  /// \p seed feeds the jitter of Retry-After; \p key is the MAC key of tickets.
   AgentNode(EndpointId self, Incarnation incarnation, std::string key,
             AgentLimits limits, std::uint64_t seed);
 
-  // Commands: each takes one input and gives the actions that follow.
+  // Commands: each takes one input and returns the resulting actions.
 
-  /// A message from the entry behind \p from.
+  /// A message arrived on the link \p from.
   AgentActions onMessage(LinkId from, const Message &message, TimePoint now);
-  /// The link is gone; nothing more arrives on it or can be sent.
+  /// The link was closed; nothing more can be received or sent on it.
   AgentActions onLinkDown(LinkId link, TimePoint now);
-  /// The endpoint's answer begins.
+  /// The endpoint's response began.
   AgentActions onRunHead(RequestId id, std::uint32_t status,
                          std::string contentType, TimePoint now);
-  /// What the endpoint asks for in the head of the answer to \p id.
+  /// The head of the response to \p id carried the pushback \p asked.
   AgentActions onPushback(RequestId id, const Pushback &asked, TimePoint now);
-  /// The endpoint's answer goes on.
+  /// More of the endpoint's response arrived.
   AgentActions onRunData(RequestId id, std::string_view data, TimePoint now);
-  /// The run ended: Ok (whole answer), EndpointUnreachable (no byte of the
-  /// request left this host), EndpointFailed (the endpoint's process has ended)
-  /// or AnswerBroken (anything else).
+  /// The run ended: Ok (complete response), EndpointUnreachable (no byte of the
+  /// request left this host), EndpointFailed (the endpoint's process exited) or
+  /// AnswerBroken (anything else).
   AgentActions onRunEnd(RequestId id, ResultCode code, TimePoint now);
-  /// The host list says whether the endpoint leaves: opens or closes the gate
-  /// for new work and tells the entries. Until the first call the gate is
-  /// closed, as the endpoint may be leaving.
+  /// Sets whether the host list marks the endpoint as leaving. The agent stops
+  /// or resumes admission and notifies the entries. Before the first call the
+  /// agent admits nothing, as the endpoint may be leaving.
   AgentActions setLeaving(bool leaving, TimePoint now);
-  /// The endpoint's process was found to have ended while nothing ran: what it
-  /// had asked for is over.
+  /// The endpoint's process was found to have exited while nothing ran. The
+  /// pushback of that incarnation no longer applies.
   AgentActions onEndpointEnded(TimePoint now);
-  /// Takes over shares from the configuration.
+  /// Replaces the fair-queueing weights, which come from the configuration.
   void setWeights(std::shared_ptr<const WorkspaceWeights> weights);
-  /// Does what is due at \p now.
+  /// Handles all timers that are due at \p now.
   AgentActions onTimer(TimePoint now);
 
-  /// The changes of the rate that the endpoint named since the last call, for
-  /// the log.
+  /// Returns the log records of changes to the endpoint's advertised rate limit
+  /// since the last call.
   std::vector<RateLimitNote> takeRateNotes() { return Rates.takeNotes(); }
-  /// Whether it said since the last call that it leaves, for the log.
+  /// Returns the incarnations of the endpoint that announced since the last
+  /// call that they are leaving, for the log.
   std::vector<LifeDigest> takeLeavingNotes() {
     return Closed.takeLeavingNotes();
   }
-  /// Whether the endpoint itself said that it leaves.
+  /// Whether the endpoint itself announced that it is leaving.
   bool saidLeaving() const { return Closed.isLeaving(currentLife()); }
-  /// The pauses that it asked for since the last call, for the log.
+  /// Returns the log records of the backoffs that the endpoint requested since
+  /// the last call.
   std::vector<RestNote> takeRestNotes() { return Closed.takeNotes(); }
 
   // Queries.
 
   /// When onTimer() is next needed, if at all.
   std::optional<TimePoint> nextTimer() const;
-  /// Whether nothing runs or waits.
+  /// Whether no request is running or queued.
   bool isIdle() const { return Running.empty() && Queue.size() == 0; }
   bool isLeaving() const { return IsLeaving; }
   const RateLimits &rates() const { return Rates; }
   const ClosedEndpoints &closed() const { return Closed; }
-  /// Whether every entry with a link has confirmed that this endpoint leaves.
+  /// Whether the endpoint is leaving and every connected entry has confirmed
+  /// this.
   bool isLeavingSeen() const { return IsLeaving && Unaware.empty(); }
   std::size_t runningCount() const { return Running.size(); }
   std::size_t queuedCount() const { return Queue.size(); }
   const Ledger &ledger() const { return Book; }
-  /// What this agent relays between entries.
+  /// The crash reports that this agent relays between entries.
   const CrashRelay &relay() const { return Relay; }
 
 private:
-  /// An entry that wants a request's answer.
+  /// An entry's attempt that receives the response to a request.
   struct Subscriber {
     LinkId Link;
     AttemptNumber Attempt;
   };
 
-  /// A request that waits or runs.
+  /// A queued or running request.
   struct Job {
     Dispatch Order;
     TimePoint Deadline;
     std::optional<TimePoint> Started;
     std::vector<Subscriber> Subscribers;
-    /// The endpoint's life when it started.
+    /// The endpoint's incarnation when the run started.
     EngineLife Life;
   };
 
@@ -170,11 +174,12 @@
   std::mt19937_64 Random;
   bool HasGate = false;
   bool IsLeaving = false;
-  /// What the host list says.
+  /// Whether the host list marks the endpoint as leaving.
   bool IsListedLeaving = false;
-  /// Links on which work has come; other agents' links are not among them.
+  /// Links that have carried a Probe or Dispatch; links from other agents are
+  /// not included.
   std::set<LinkId> Entries;
-  /// Entries that have not confirmed yet that this endpoint leaves.
+  /// Entries that have not yet confirmed that this endpoint is leaving.
   std::set<LinkId> Unaware;
   std::map<RequestId, Job> Jobs;
   std::set<RequestId> Running;
@@ -182,15 +187,15 @@
   std::optional<TimePoint> NextExpiry;
   /// Lives of the endpoint that have ended under a run.
   EngineLife Life;
-  /// The endpoint was found down: nothing is accepted until then.
+  /// Nothing is admitted before this time, as the endpoint was found down.
   TimePoint DownUntil;
-  /// The rate that the endpoint named: all work passes here, so that this agent
-  /// is its only sender.
+  /// The rate limit that the endpoint advertises. All its requests pass through
+  /// this agent, so the agent is the endpoint's only sender.
   RateLimits Rates;
   ClosedEndpoints Closed;
   CrashRelay Relay;
-  /// Time of the latest input; while requests wait there is one every
-  /// PauseCheckInterval, unless the process is paused.
+  /// Time of the latest input. While requests are queued, a timer provides an
+  /// input every PauseCheckInterval unless the process is paused.
   TimePoint LastInput;
   AgentActions Out;
 };
--- a/include/ospreyspur/Routing/Call.h
+++ b/include/ospreyspur/Routing/Call.h
@@ -1,6 +1,7 @@
 //===- Call.h - one caller's request inside an entry ------------*- C++ -*-===//
 //
-// The state that an EntryNode keeps for a request from arrival to final answer.
+// The state that an EntryNode keeps for a request from its arrival to the final
+// response.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,21 +18,21 @@
 
 namespace ospreyspur {
 
-/// Where a call stands.
+/// The stages of a call.
 enum class CallStage : std::uint8_t {
-  /// Waits for another run of the same suspect; nothing was sent to run.
+  /// Waits for another run of the same suspect request; no dispatch is out.
   Deferred,
-  /// Asks endpoints for offers; nothing was sent to run.
+  /// Waits for the endpoints' offers; no dispatch is out.
   Probing,
-  /// Reads the claim of its idempotency key.
+  /// Reads the claim on its idempotency key.
   ReadingClaim,
-  /// Writes the claim of its idempotency key.
+  /// Writes the claim on its idempotency key.
   Claiming,
-  /// Sent to an agent that has not confirmed it yet.
+  /// Sent to an agent that has not yet confirmed the dispatch.
   Dispatched,
   /// Confirmed by the agent.
   Accepted,
-  /// Its fate is not known; asks the agent.
+  /// Asks the agent whether the dispatch ran, as contact was lost.
   Resolving,
 };
 
@@ -39,43 +40,44 @@
 struct Call {
   CallerRequest Request;
   CallStage Stage = CallStage::Probing;
-  /// When the caller's wait ends.
+  /// The caller's deadline.
   TimePoint Deadline;
-  /// When the stage's time is up.
+  /// When the current stage times out.
   TimePoint Timer;
-  /// Tries within the present stage.
+  /// Failed tries within the current stage.
   unsigned Tries = 0;
-  /// Whether endpoints are asked although they did not answer lately.
+  /// Whether endpoints that recently did not reply are probed as well.
   bool IgnoresSilence = false;
 
   std::vector<ProbeOffer> Offers;
   std::size_t ProbesOut = 0;
-  /// Endpoints not to ask again for this call.
+  /// Endpoints that this call must not probe again.
   std::set<EndpointId> Tried;
   ResultCode LastRefusal = ResultCode::NoEndpoint;
   Duration RetryAfter{};
 
-  /// The ticket that the call runs under, once chosen.
+  /// The ticket that authorizes the run, once an offer was chosen.
   std::optional<Ticket> Permit;
   AttemptNumber Attempt{0};
   unsigned Dispatches = 0;
   Reassembler Answer;
   bool HasHead = false;
-  /// Bytes in order that wait for the answer's head.
+  /// In-order bytes held back until the response's head has arrived.
   std::string Unsent;
-  /// Whether an earlier dispatch was given up without proof that it did not
+  /// Whether an earlier dispatch was abandoned without proof that it did not
   /// run; the call can no longer end as "not run".
   bool MayHaveRun = false;
 
-  /// When the present dispatch was first sent.
+  /// When the current dispatch was first sent.
   TimePoint SentAt;
-  /// How long a suspect may be deferred, and its random backoff.
+  /// Until when a suspect request may be deferred.
   std::optional<TimePoint> DeferUntil;
+  /// End of the random backoff of a suspect request.
   std::optional<TimePoint> NotBefore;
 
-  /// When the claim of the key was first asked for.
+  /// When the claim on the idempotency key was first requested.
   std::optional<TimePoint> ClaimReadAt;
-  /// The claim's revision as last seen; 0 if there is none.
+  /// The revision of the claim as last read; 0 if there is none.
   Revision ClaimAt;
   KvCallId PendingKv;
 };
--- a/include/ospreyspur/Routing/Claim.h
+++ b/include/ospreyspur/Routing/Claim.h
@@ -1,7 +1,7 @@
 //===- Claim.h - binds an idempotency key to a ticket -----------*- C++ -*-===//
 //
-// The value that an entry keeps in the platform's service for a caller's
-// Idempotency-Key: which request it belongs to and the ticket it runs under.
+// The value that an entry keeps in the key-value store for a caller's
+// Idempotency-Key: the request that uses the key and the ticket of its run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,22 +16,22 @@
 
 namespace ospreyspur {
 
-/// A ticket, and the fingerprint of the request that may use it.
+/// A ticket and the fingerprint of the request that may use it.
 struct Claim {
   std::string Fingerprint;
   Ticket Permit;
 };
 
-/// The platform's key for \p key of \p workspace.
+/// Returns the store's key for the idempotency key \p key of \p workspace.
 std::string claimKey(const WorkspaceId &workspace, const std::string &key);
 
-/// Tells two requests under one key apart.
+/// Returns a hash that differs for different requests under one key.
 std::string fingerprint(const CallerRequest &request);
 
-/// \p claim as the platform's value.
+/// Returns \p claim as the value to store.
 std::string formatClaim(const Claim &claim);
 
-/// Reads formatClaim()'s text. Errors: PlatformBadAnswer.
+/// Parses the text written by formatClaim(). Errors: PlatformBadAnswer.
 Result<Claim> parseClaim(const std::string &text);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Routing/DrainEstimator.h
+++ b/include/ospreyspur/Routing/DrainEstimator.h
@@ -1,7 +1,7 @@
-//===- DrainEstimator.h - how long a queue takes to drain -------*- C++ -*-===//
+//===- DrainEstimator.h - estimates the drain time of a queue ---*- C++ -*-===//
 //
-// Learns from finished requests how long one takes and derives the expected
-// wait of a new one and the time after which a refused caller should return.
+// Averages the service time of finished requests and derives the expected wait
+// of a new request, from which Retry-After is computed for refused callers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,14 +17,14 @@
 /// Exponentially weighted mean of the time a request holds its slot.
 class DrainEstimator {
 public:
-  /// \p initial is the assumed time before anything was measured.
+  /// \p initial is the assumed mean before the first request has finished.
   explicit DrainEstimator(Duration initial) : MeanHold(initial) {}
 
-  /// Takes in that a request held its slot for \p held.
+  /// Records that a request held its slot for \p held.
   void record(Duration held);
 
-  /// Expected wait for a slot, with \p waiting requests ahead, \p running ones
-  /// in \p slots slots.
+  /// Returns the expected wait for a slot when \p waiting requests are ahead in
+  /// the queue and \p running requests occupy some of the \p slots slots.
   Duration estimateWait(std::size_t waiting, std::size_t running,
                         std::size_t slots) const;
 
--- a/include/ospreyspur/Routing/EntryActions.h
+++ b/include/ospreyspur/Routing/EntryActions.h
@@ -1,6 +1,7 @@
 //===- EntryActions.h - inputs and outputs of an EntryNode ------*- C++ -*-===//
 //
-// What the shell hands to the entry's state machine, and what that asks for.
+// The requests that the process passes to the entry's state machine, and the
+// actions that the state machine returns.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +19,7 @@
 
 namespace ospreyspur {
 
-/// A request as a caller sent it, with its workspace already known.
+/// A client's request whose workspace has been identified.
 struct CallerRequest {
   CallId Id;
   WorkspaceId Workspace;
@@ -37,9 +38,9 @@
   std::optional<std::string> IdempotencyKey;
   /// A ticket from POST /v1/tickets.
   std::optional<Ticket> CallerTicket;
-  /// Only a ticket is wanted; nothing is run.
+  /// Whether the caller asked only for a ticket; nothing is run then.
   bool WantsTicket = false;
-  /// What the request is known by when it comes again; the entry works it out.
+  /// Identifies repeated requests with the same content; set by the entry.
   RequestDigest Digest;
 };
 
@@ -49,39 +50,39 @@
   Message Body;
 };
 
-/// Begin the caller's answer.
+/// Begin the response to the caller.
 struct AnswerHead {
   CallId Call;
   std::uint32_t Status = 0;
   std::string ContentType;
 };
 
-/// Pass on a part of the caller's answer.
+/// Send a part of the response to the caller.
 struct AnswerData {
   CallId Call;
   std::string Data;
 };
 
-/// The caller's answer is whole.
+/// The response to the caller is complete.
 struct AnswerEnd {
   CallId Call;
 };
 
-/// The call ends without a whole answer. If a head was sent before, the answer
-/// must be marked as cut.
+/// The call ends without a complete response. If the head was already sent, the
+/// response must be marked as truncated.
 struct AnswerError {
   CallId Call;
   ResultCode Code = ResultCode::Ok;
   Duration RetryAfter{};
 };
 
-/// The caller's ticket.
+/// Send the ticket that the caller asked for.
 struct AnswerTicket {
   CallId Call;
   Ticket Permit;
 };
 
-/// Make a call on the platform's service.
+/// Send a request to the key-value store.
 struct CallPlatform {
   KvRequest Request;
 };
--- a/include/ospreyspur/Routing/EntryNode.h
+++ b/include/ospreyspur/Routing/EntryNode.h
@@ -1,9 +1,10 @@
-//===- EntryNode.h - takes callers' requests to endpoints -------*- C++ -*-===//
+//===- EntryNode.h - routes callers' requests to endpoints ------*- C++ -*-===//
 //
-// The state machine of an entry's traffic side. For each request it probes,
-// claims the idempotency key if there is one, dispatches, puts the answer
-// together, and finds out what became of a dispatch whose fate is unknown. It
-// does no I/O: inputs and the time go in, actions come out.
+// The state machine of an entry's traffic side. For each request the node
+// probes endpoints, claims the idempotency key if there is one, dispatches,
+// reassembles the response, and asks the agent about a dispatch whose outcome
+// is unknown. The node does no I/O: it takes inputs and the current time and
+// returns actions.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,7 +32,7 @@
 
 namespace ospreyspur {
 
-/// Bounds and waits of an entry.
+/// Limits and timeouts of an entry.
 struct EntryLimits {
   std::size_t MaxCalls = 4096;
   std::size_t MaxEarlyBytes = 1U << 20U;
@@ -40,30 +41,33 @@
   PickerWeights Weights;
   Duration ProbeTimeout = std::chrono::milliseconds(60);
   Duration AcceptTimeout = std::chrono::milliseconds(300);
-  /// Silence of an answer after which its agent is asked.
+  /// Inactivity of a response after which contact with its agent counts as
+  /// lost.
   Duration StallTimeout = std::chrono::seconds(5);
   Duration ResolveInterval = std::chrono::milliseconds(150);
   Duration ClaimTimeout = std::chrono::milliseconds(500);
-  /// Time kept back before the deadline for the agent's last word.
+  /// Time reserved before the deadline for the agent's final message.
   Duration DeadlineMargin = std::chrono::milliseconds(60);
-  /// How long a ticket for direct use may start: bounds how long after a
-  /// dispatch an agent that was frozen may still start it.
+  /// Validity of a ticket that the entry uses itself. Bounds how long after a
+  /// dispatch an agent that was frozen may still start the run.
   Duration TicketValidity = std::chrono::seconds(4);
-  /// How long a ticket given to a caller may start.
+  /// Validity of a ticket given to a caller.
   Duration CallerTicketValidity = std::chrono::minutes(5);
   /// How long an idempotency key stays bound. Must exceed TicketValidity and
   /// must not exceed the agents' ledger retention.
   Duration ClaimLease = std::chrono::minutes(10);
-  /// How long an endpoint that did not answer is left out.
+  /// How long an endpoint that did not reply is excluded from probing.
   Duration SuspectTime = std::chrono::seconds(1);
   double RetryRatio = 0.2;
   double RetryReserve = 10.0;
-  /// How long a suspect may be deferred, and the interval of its polls.
+  /// How long a suspect request may be deferred.
   Duration MaxDefer = std::chrono::milliseconds(1500);
+  /// How often a deferred request checks whether it may run.
   Duration DeferPollInterval = std::chrono::milliseconds(20);
   CrashLimits Crashes = makeRelayedCrashLimits();
 
-  /// Links are reliable and relays keep all rows, so few repeats are needed.
+  /// Links are reliable and relays keep all records, so each record needs few
+  /// announcements.
   static CrashLimits makeRelayedCrashLimits() {
     CrashLimits limits;
     limits.Tellings = 1;
@@ -75,34 +79,34 @@
 /// The traffic side of an entry.
 class EntryNode {
 public:
-  /// \p seed feeds the choice of candidates; requests are digested under
-  /// \p digestKey, the same at all entries.
+  /// \p seed feeds the random choices; \p digestKey keys the digests of
+  /// requests and must be the same at all entries.
   EntryNode(DataCentreId dataCentre, EntryLimits limits, std::uint64_t seed,
             std::string digestKey = "");
 
-  // Commands: each takes one input and gives the actions that follow.
+  // Commands: each takes one input and returns the resulting actions.
 
-  /// A new request. Its id must be new.
+  /// A request arrived. Its id must be new.
   EntryActions onCall(CallerRequest request, TimePoint now);
-  /// The caller hung up.
+  /// The caller disconnected.
   EntryActions onCallerGone(CallId id, TimePoint now);
-  /// A message from the agent of \p from.
+  /// A message arrived from the agent of \p from.
   EntryActions onMessage(const EndpointId &from, const Message &message,
                          TimePoint now);
-  /// The connection to the agent of \p to is gone; what was sent on it may or
+  /// The connection to the agent of \p to was lost; messages sent on it may or
   /// may not have arrived.
   EntryActions onLinkDown(const EndpointId &to, TimePoint now);
-  /// The platform's answer to CallPlatform.
+  /// The key-value store replied to the CallPlatform action \p id.
   EntryActions onKvReply(KvCallId id, const KvReply &reply, TimePoint now);
-  /// Requests that had been quarantined before this process began.
+  /// Restores requests that were quarantined before this process started.
   EntryActions restoreQuarantine(const std::vector<RequestDigest> &requests,
                                  TimePoint now);
-  /// A newer view of the fleet; call onTimer() next.
+  /// Replaces the view of the fleet; call onTimer() next.
   void setSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot);
-  /// Does what is due at \p now.
+  /// Handles all timers that are due at \p now.
   EntryActions onTimer(TimePoint now);
-  /// The ends of endpoints that were put down to requests since the last call,
-  /// for the log.
+  /// Returns the log records of endpoint crashes that were attributed to
+  /// requests, and of quarantined requests, since the last call.
   std::vector<CrashNote> takeCrashNotes() {
     return std::exchange(CrashNotes, {});
   }
@@ -112,11 +116,11 @@
   /// When onTimer() is next needed, if at all.
   std::optional<TimePoint> nextTimer() const;
   const CrashTracker &crashes() const { return Crashes; }
-  /// Entries as far as is known, this one included.
+  /// Number of known entries, this one included.
   std::size_t entryCount(TimePoint now) const {
     return Reporter.entryCount(now);
   }
-  /// Number of calls without a final answer.
+  /// Number of calls without a final response.
   std::size_t callCount() const { return Calls.size(); }
 
 private:
@@ -185,8 +189,8 @@
   std::mt19937_64 Random;
   std::shared_ptr<const RoutingSnapshot> Snapshot;
   std::uint64_t LastKvCall = 0;
-  /// Attempts are numbered across all calls, as several calls of this entry may
-  /// attach to one request.
+  /// Attempt numbers are unique across all calls, as several calls of this
+  /// entry may attach to one request.
   AttemptNumber LastAttempt{0};
   std::map<CallId, Call> Calls;
   /// Several calls may attach to one request.
@@ -196,7 +200,7 @@
   std::unordered_map<EndpointId, TimePoint> SuspectUntil;
   std::set<EndpointId> KnownLeaving;
   std::string DigestKey;
-  /// This entry's name to the others, drawn at random.
+  /// The random name that identifies this entry to other entries.
   std::string Name;
   CrashTracker Crashes;
   CrashReporter Reporter;
--- a/include/ospreyspur/Routing/FairQueue.h
+++ b/include/ospreyspur/Routing/FairQueue.h
@@ -1,7 +1,8 @@
 //===- FairQueue.h - deficit round robin over workspaces --------*- C++ -*-===//
 //
 // Queues requests by priority and, within one priority, shares the endpoint's
-// capacity between workspaces by weight, whatever each of them sends.
+// capacity between workspaces by weight, regardless of how many requests each
+// workspace sends.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,27 +27,28 @@
 struct QueuedRequest {
   RequestId Id;
   WorkspaceId Workspace;
-  /// Higher goes first.
+  /// Higher priorities are served first.
   std::uint32_t Priority = 0;
-  /// Expected work, in units of a small request; at least 1.
+  /// Expected work in units of a small request; at least 1.
   std::uint32_t Cost = 1;
-  /// The workspace's share; at least 1.
+  /// The workspace's weight; at least 1.
   std::uint32_t Weight = 1;
 };
 
 /// Deficit round robin (Shreedhar and Varghese, 1995) for each priority.
 class FairQueue {
 public:
-  /// Adds \p request behind its workspace's others.
+  /// Adds \p request behind the queued requests of the same workspace and
+  /// priority.
   void push(QueuedRequest request);
 
-  /// Takes the next request to run, if any waits.
+  /// Removes and returns the next request to run, if any.
   std::optional<QueuedRequest> pop();
 
-  /// Takes \p id out of the queue; false if it does not wait here.
+  /// Removes \p id from the queue; false if \p id is not queued.
   bool remove(RequestId id);
 
-  /// Takes all requests out, in no particular order.
+  /// Removes and returns all requests, in no particular order.
   std::vector<QueuedRequest> drain();
 
   /// Number of waiting requests.
@@ -55,9 +57,10 @@
   /// Number of waiting requests of \p workspace.
   std::size_t sizeOf(const WorkspaceId &workspace) const;
 
-  /// About how many of the waiting requests would be served before a new one of
-  /// \p workspace, with \p weight and \p priority, if nothing else came. What
-  /// others have queued beyond their share does not count.
+  /// Estimates how many of the waiting requests would be served before a new
+  /// request of \p workspace with \p weight and \p priority, if no further
+  /// request arrived. Requests that other workspaces have queued beyond their
+  /// share do not count.
   std::size_t countAhead(const WorkspaceId &workspace, std::uint32_t weight,
                          std::uint32_t priority) const;
 
@@ -72,7 +75,7 @@
 
   void forget(const QueuedRequest &request);
 
-  /// Rings by falling priority; the front flow of a ring is served next.
+  /// Rings by descending priority; the front flow of a ring is served next.
   std::map<std::uint32_t, Ring, std::greater<>> Rings;
   std::unordered_map<WorkspaceId, std::size_t> CountByWorkspace;
   std::size_t Count = 0;
--- a/include/ospreyspur/Routing/ProbePicker.h
+++ b/include/ospreyspur/Routing/ProbePicker.h
@@ -1,10 +1,9 @@
-//===- ProbePicker.h - which endpoints to ask, and which to take -*- C++
-//-*-===//
+//===- ProbePicker.h - selects endpoints to probe and to use ----*- C++ -*-===//
 //
-// An entry of a large fleet sees few requests, so what it remembers of an
-// endpoint's load is old. It therefore asks a few endpoints for each request
-// and takes the best answer. The prompt's home endpoint is asked first, as it
-// may hold the prompt's prefix in its cache; then those in the same data
+// An entry of a large fleet sees few requests, so its knowledge of an
+// endpoint's load is stale. The entry therefore probes a few endpoints for each
+// request and takes the best offer. The prompt's home endpoint is probed first,
+// as its cache may hold the prompt's prefix, then endpoints in the same data
 // centre.
 //
 //===----------------------------------------------------------------------===//
@@ -23,39 +22,41 @@
 
 namespace ospreyspur {
 
-/// An endpoint's answer to a probe.
+/// An endpoint's reply to a probe.
 struct ProbeOffer {
   EndpointId Endpoint;
   ProbeReply Reply;
 };
 
-/// What counts beside the expected wait, each as waiting time.
+/// Factors beside the expected wait, each expressed as waiting time.
 struct PickerWeights {
-  /// What it is worth that the prompt's prefix may be cached.
+  /// Bonus of the endpoint whose cache may hold the prompt's prefix.
   Duration Prefix = std::chrono::milliseconds(4);
-  /// What each request at an endpoint costs a new one: all ranks of a group
-  /// step together, so the fullest endpoint holds up its whole group.
+  /// Cost of each request at an endpoint. All ranks of a group step together,
+  /// so the most loaded endpoint slows down its whole group.
   Duration Request = std::chrono::milliseconds(2);
 };
 
 /// Chooses probe candidates and the best offer.
 class ProbePicker {
 public:
-  /// Says whether an endpoint should be left out.
+  /// Returns whether to exclude an endpoint.
   using Filter = std::function<bool(const EndpointId &)>;
 
-  /// \p probes endpoints are asked for each request from \p dataCentre.
+  /// \p probes endpoints are probed for each request. \p dataCentre is the
+  /// entry's own data centre.
   ProbePicker(std::size_t probes, PickerWeights weights,
               DataCentreId dataCentre)
       : Probes(probes), Weights(weights), DataCentre(std::move(dataCentre)) {}
 
-  /// The endpoints of \p service to ask, without those that \p isExcluded.
+  /// Returns the endpoints of \p service to probe, except those for which
+  /// \p isExcluded returns true.
   std::vector<EndpointId> pickCandidates(const ServiceView &service,
                                          std::uint64_t prefix,
                                          const Filter &isExcluded,
                                          std::mt19937_64 &random) const;
 
-  /// The index of the best accepting offer, if there is one.
+  /// Returns the index of the cheapest accepting offer, if there is one.
   std::optional<std::size_t> pickOffer(const std::vector<ProbeOffer> &offers,
                                        const ServiceView &service,
                                        std::uint64_t prefix) const;
@@ -66,8 +67,8 @@
   DataCentreId DataCentre;
 };
 
-/// The endpoint of \p service that caches prompts with \p prefix, by highest
-/// random weight; null if there is none.
+/// Returns the home endpoint of \p prefix in \p service, by rendezvous (highest
+/// random weight) hashing, or null if there is none.
 const EndpointView *findPrefixHome(const ServiceView &service,
                                    std::uint64_t prefix);
 
--- a/include/ospreyspur/Routing/Reassembler.h
+++ b/include/ospreyspur/Routing/Reassembler.h
@@ -1,7 +1,7 @@
-//===- Reassembler.h - puts an answer's pieces in order ---------*- C++ -*-===//
+//===- Reassembler.h - reassembles a response from its chunks ---*- C++ -*-===//
 //
-// Passes on each byte of an answer once and in order, whatever the order in
-// which pieces arrive. Pieces of an attempt that was given up are dropped.
+// Emits each byte of a response exactly once and in order, whatever the order
+// in which chunks arrive. Chunks of an abandoned attempt are dropped.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,26 +17,26 @@
 
 namespace ospreyspur {
 
-/// Orders the pieces of one answer.
+/// Reassembles the chunks of one response.
 class Reassembler {
 public:
-  /// Goes over to \p attempt; what arrived early for another is dropped.
+  /// Switches to \p attempt and drops the out-of-order chunks of any other.
   void beginAttempt(AttemptNumber attempt);
 
-  /// Takes in a piece and gives the bytes that are now in order.
+  /// Adds a chunk and returns the bytes that are now in order.
   std::string add(AttemptNumber attempt, std::uint64_t offset,
                   std::string data);
 
-  /// Takes in where the answer ends.
+  /// Sets the total length of the response.
   void setLength(AttemptNumber attempt, std::uint64_t length);
 
-  /// Whether all bytes up to the known end were passed on.
+  /// Whether the length is known and all bytes were emitted.
   bool isComplete() const { return Length && *Length == Next; }
 
-  /// The offset of the next byte to pass on.
+  /// The offset of the next byte to emit.
   std::uint64_t nextOffset() const { return Next; }
 
-  /// Bytes held because an earlier piece is missing.
+  /// Bytes buffered because an earlier chunk is missing.
   std::size_t earlyBytes() const { return EarlyBytes; }
 
 private:
--- a/include/ospreyspur/Routing/RetryBudget.h
+++ b/include/ospreyspur/Routing/RetryBudget.h
@@ -14,16 +14,16 @@
 
 namespace ospreyspur {
 
-/// The retry allowances of all workspaces at one entry.
+/// The retry budgets of all workspaces at one entry.
 class RetryBudget {
 public:
-  /// Each request earns \p ratio retries; at most \p reserve are saved up.
+  /// Each request earns \p ratio retries; a balance never exceeds \p reserve.
   RetryBudget(double ratio, double reserve) : Ratio(ratio), Reserve(reserve) {}
 
-  /// Notes a new request of \p workspace.
+  /// Credits \p workspace for a new request.
   void earn(const WorkspaceId &workspace);
 
-  /// Takes one retry from the allowance; false if there is none.
+  /// Takes one retry from the budget; false if the budget is exhausted.
   bool spend(const WorkspaceId &workspace);
 
 private:
--- a/include/ospreyspur/Routing/RoutingSnapshot.h
+++ b/include/ospreyspur/Routing/RoutingSnapshot.h
@@ -1,8 +1,8 @@
-//===- RoutingSnapshot.h - what traffic threads know of the fleet -*- C++
-//-*-===//
+//===- RoutingSnapshot.h - the fleet as traffic threads see it --*- C++ -*-===//
 //
-// An immutable view of services, endpoints and workspaces, made by the control
-// thread from the configuration and the host list. It may lag; agents decide.
+// An immutable view of services, endpoints and workspaces that the control
+// thread builds from the configuration and the host list. The view may be
+// stale; agents make the final decision on each request.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,9 +17,9 @@
 
 namespace ospreyspur {
 
-/// How a service is spoken to.
+/// The protocol of a service.
 enum class ServiceKind : std::uint8_t {
-  /// A model: completions that stream and can be resumed.
+  /// Completions of a model, which are streamed and can be resumed.
   Model,
   /// Plain HTTP.
   Plain,
@@ -51,15 +51,15 @@
   std::uint32_t Priority = 0;
 };
 
-/// All that routing needs, of one moment.
+/// The routing state of one pair of configuration and host list revisions.
 struct RoutingSnapshot {
   Revision ConfigRevision;
   Revision HostsRevision;
   std::map<ServiceId, ServiceView> Services;
-  /// By the SHA-256 of the bearer key, in hex.
+  /// Workspaces by the SHA-256 of their bearer key, in hex.
   std::map<std::string, WorkspaceView> WorkspacesByKeyHash;
 
-  /// The endpoint called \p id, or null.
+  /// Returns the endpoint with \p id, or null.
   const EndpointView *findEndpoint(const EndpointId &id) const {
     for (const auto &[name, service] : Services)
       for (const EndpointView &it : service.Endpoints)
--- a/lib/Ledger/Ledger.cpp
+++ b/lib/Ledger/Ledger.cpp
@@ -1,6 +1,6 @@
-//===- Ledger.cpp - deciding what may start -------------------------------===//
+//===- Ledger.cpp - decides which tickets may start a run -----------------===//
 //
-// See Ledger.h for the rules; each function here keeps one of them.
+// Ledger.h describes the rules by which records are kept.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,8 +25,8 @@
   if (verdict.What != Decision::Start)
     return verdict;
   if (isFull()) {
-    // There is no room to remember this refusal by itself, and it must hold for
-    // good: void every ticket that is out and has no record.
+    // This refusal must be permanent, but the full ledger cannot record it:
+    // void every issued ticket that has no record.
     VoidThrough = Office.lastIssued();
     return {Decision::Refuse, ResultCode::LedgerFull};
   }
@@ -87,7 +87,8 @@
 
 void Ledger::withdraw(RequestId id, ResultCode reason, TimePoint now) {
   Record *it = find(id);
-  assert(it && it->Now == State::Admitted && "only an admitted run withdraws");
+  assert(it && it->Now == State::Admitted &&
+         "only an admitted run can be withdrawn");
   it->Now = State::Void;
   it->Reason = reason;
   it->KeepUntil = std::max(now, it->Expires);
@@ -96,7 +97,7 @@
 
 ResultCode Ledger::append(RequestId id, std::string_view data) {
   Record *it = find(id);
-  assert(it && it->Now == State::Admitted && "only a running answer grows");
+  assert(it && it->Now == State::Admitted && "only a running request has data");
   if (AnswerBytes + data.size() > Limits.MaxAnswerBytes)
     return ResultCode::AnswerTooLarge;
   it->Answer.Body.append(data);
--- a/lib/Ledger/Ticket.cpp
+++ b/lib/Ledger/Ticket.cpp
@@ -1,7 +1,8 @@
 //===- Ticket.cpp - the text form of tickets ------------------------------===//
 //
-// "1.<issuer>.<sequence>.<expires>.<mac>.<endpoint>.<workspace>", numbers in
-// hex, the strings hex-encoded, so that a ticket is a plain header token.
+// The format is
+// "1.<issuer>.<sequence>.<expires>.<mac>.<endpoint>.<workspace>", with numbers
+// in hex and strings hex-encoded, so that a ticket is a valid header token.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Ledger/TicketOffice.cpp
+++ b/lib/Ledger/TicketOffice.cpp
@@ -1,6 +1,6 @@
-//===- TicketOffice.cpp - issuing and checking ----------------------------===//
+//===- TicketOffice.cpp - issues and verifies tickets ---------------------===//
 //
-// The seal is HMAC-SHA256 over the ticket's other fields, cut to 16 bytes.
+// The MAC is HMAC-SHA256 over the ticket's other fields, truncated to 16 bytes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 TicketOffice::TicketOffice(EndpointId endpoint, Incarnation incarnation,
                            std::string key)
     : Endpoint(std::move(endpoint)), Self(incarnation), Key(std::move(key)) {
-  assert(!Key.empty() && "a ticket office needs a key");
+  assert(!Key.empty() && "issuing tickets requires a MAC key");
 }
 
 Ticket TicketOffice::issue(const WorkspaceId &workspace, Duration validFor,
@@ -47,6 +47,6 @@
   const auto *data = reinterpret_cast<const unsigned char *>(text.data());
   HMAC(EVP_sha256(), Key.data(), static_cast<int>(Key.size()), data,
        text.size(), digest, &n);
-  assert(n >= MacBytes && "the digest is shorter than the seal");
+  assert(n >= MacBytes && "the digest is shorter than the MAC");
   return {reinterpret_cast<const char *>(digest), MacBytes};
 }
--- a/lib/Routing/AgentNode.cpp
+++ b/lib/Routing/AgentNode.cpp
@@ -1,8 +1,8 @@
 //===- AgentNode.cpp - the traffic side of an agent -----------------------===//
 //
-// The gate, the queue and time. What concerns requests that have been taken
-// stands in AgentRuns.cpp. One rule runs through this file: a refusal that says
-// "not run" is recorded in the ledger before it is sent, so that it stays true.
+// Admission control, the queue and timers. AgentRuns.cpp handles admitted
+// requests. Every refusal of a dispatch that says "not run" is recorded in the
+// ledger before it is sent, so that the request cannot run afterwards.
 //
 //===----------------------------------------------------------------------===//
 
@@ -36,8 +36,9 @@
   return takeActions();
 }
 
-/// After a pause of this process the endpoint may have left long ago, and
-/// callers have waited long enough: what waits is handed back.
+/// Updates the time of the latest input. If this process was paused, refuses
+/// all queued requests: the endpoint may have left long ago, and the callers
+/// have waited too long already.
 void AgentNode::noticeTime(TimePoint now) {
   bool wasPaused = now - LastInput > PauseLimit;
   LastInput = now;
@@ -50,10 +51,11 @@
 template <typename T>
 void AgentNode::handle(LinkId /*from*/, const T & /*other*/,
                        TimePoint /*now*/) {
-  // Messages of other roles are not for this side of the agent.
+  // Messages for other roles are ignored.
 }
 
-/// Takes note of an entry's link; a leaving agent says so before anything else.
+/// Registers the link of an entry. A leaving agent sends Leaving on a new link
+/// before any other message.
 void AgentNode::meetEntry(LinkId link) {
   if (!Entries.insert(link).second || !IsLeaving)
     return;
@@ -144,7 +146,8 @@
     return ResultCode::RateLimited;
   if (Queue.size() >= Limits.MaxQueue || wait > Limits.MaxWait)
     return ResultCode::QueueFull;
-  // An answer that would be cut at its deadline only takes others' time.
+  // A response that would be truncated at its deadline only uses up capacity
+  // that other requests need.
   bool isHopeless = wait + Drain.meanHold() > timeLeft;
   if (wait > Duration::zero() && timeLeft > Duration::zero() && isHopeless)
     return ResultCode::QueueFull;
@@ -165,8 +168,8 @@
 }
 
 Duration AgentNode::spreadRetryAfter() {
-  // From half to one and a half times the time to drain, so that callers who
-  // were refused together do not return together.
+  // Jitter between 0.5 and 1.5 times the drain time, so that callers refused at
+  // the same time do not retry at the same time.
   Duration toDrain =
       Drain.estimateWait(Queue.size(), Running.size(), Limits.Slots);
   Duration base = std::max({toDrain, rateWait(), MinRetryAfter});
@@ -245,7 +248,8 @@
     send(it, Leaving{leaving});
   if (!leaving)
     return;
-  // What waits has not begun: hand it back, so that it runs elsewhere at once.
+  // Queued requests have not started: refuse them, so that the entries retry
+  // them at other endpoints at once.
   for (const QueuedRequest &it : Queue.drain())
     withdrawQueued(it.Id, ResultCode::EndpointLeaving, now);
 }
--- a/lib/Routing/AgentPushback.cpp
+++ b/lib/Routing/AgentPushback.cpp
@@ -1,7 +1,8 @@
-//===- AgentPushback.cpp - an endpoint that asks its agent for less -------===//
+//===- AgentPushback.cpp - honours an endpoint's pushback -----------------===//
 //
-// The part of AgentNode that keeps to it. What an agent knows of its endpoint
-// goes with the agent; the next answer says it again.
+// The part of AgentNode that applies the rate limit, the backoff and the
+// leaving notice that an endpoint sends with its responses. This state is lost
+// when the agent restarts; the endpoint's next response restores it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -45,7 +46,7 @@
   return std::max(end - LastInput, Duration::zero());
 }
 
-/// How long a new request would wait for its turn under the named rate.
+/// Returns how long a new request would wait under the advertised rate limit.
 Duration AgentNode::rateWait() const {
   LifeDigest life = currentLife();
   if (!Rates.isLimited(life))
--- a/lib/Routing/AgentRuns.cpp
+++ b/lib/Routing/AgentRuns.cpp
@@ -1,6 +1,7 @@
-//===- AgentRuns.cpp - requests that an agent has taken -------------------===//
+//===- AgentRuns.cpp - requests that an agent has admitted ----------------===//
 //
-// Starting them, handing their answers to all who want them, and ending them.
+// Starts admitted requests, forwards their responses to all subscribed entries
+// and ends them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,14 +13,15 @@
 
 using namespace ospreyspur;
 
-/// How long an endpoint that was found down gets nothing new. Without it an
-/// endpoint that fails at once is the least loaded one and draws all requests.
+/// How long an endpoint that was found down gets no new requests. Without this
+/// pause, an endpoint that fails at once appears the least loaded and attracts
+/// all requests.
 static constexpr Duration DownPause = std::chrono::milliseconds(150);
 
 void AgentNode::attach(LinkId from, const Dispatch &dispatch, TimePoint now) {
   RequestId id = dispatch.Permit.Id;
   const StoredAnswer *answer = Book.findAnswer(id);
-  assert(answer && "a known request has an answer");
+  assert(answer && "a known request has a response");
   bool isMissing = answer->Dropped || dispatch.ResumeFrom < answer->BaseOffset;
   if (isMissing) {
     refuse(from, id, dispatch.Attempt, ResultCode::AnswerForgotten);
@@ -79,7 +81,7 @@
   if (it == Jobs.end())
     return takeActions();
   StoredAnswer *answer = Book.findAnswer(id);
-  assert(answer && "a running request has an answer");
+  assert(answer && "a running request has a response");
   answer->HasHead = true;
   answer->Status = status;
   answer->ContentType = std::move(contentType);
@@ -140,9 +142,9 @@
   startWaiting(now);
 }
 
-/// The process that had the life \p life has ended; runs that started before
-/// end with it. An endpoint that leaves is stopped on purpose, which says
-/// nothing of what it ran. Returns the code to tell.
+/// Records that the endpoint's incarnation \p life has exited, which ends all
+/// runs that it started. A leaving endpoint is stopped on purpose, so its exit
+/// is not attributed to its requests. Returns the code to report for the run.
 ResultCode AgentNode::noteEngineEnd(EngineLife life, TimePoint now) {
   bool wasLeaving = IsLeaving;
   if (life == Life)
--- a/lib/Routing/Claim.cpp
+++ b/lib/Routing/Claim.cpp
@@ -1,6 +1,6 @@
 //===- Claim.cpp - the text form of claims --------------------------------===//
 //
-// "<fingerprint> <ticket>", both without spaces.
+// The format is "<fingerprint> <ticket>"; neither part contains spaces.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Routing/DrainEstimator.cpp
+++ b/lib/Routing/DrainEstimator.cpp
@@ -1,7 +1,8 @@
 //===- DrainEstimator.cpp - expected waits --------------------------------===//
 //
-// One finished request moves the mean by a sixteenth: a burst of short ones is
-// noticed within some tens of requests, a single odd one hardly counts.
+// A finished request moves the mean by 1/16 of the difference. The mean thus
+// follows a burst of short requests within some tens of them, while a single
+// outlier has little effect.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Routing/EntryClaims.cpp
+++ b/lib/Routing/EntryClaims.cpp
@@ -1,11 +1,11 @@
 //===- EntryClaims.cpp - idempotency keys at an entry ---------------------===//
 //
 // A key is read first, then bound to a ticket by one create-if-absent in the
-// platform's service. Whoever finds the key bound attaches to the same ticket,
-// and the agent's ledger sees to it that the ticket runs once.
+// key-value store. An entry that finds the key bound attaches to the same
+// ticket, and the agent's ledger ensures that the ticket runs at most once.
 //
-// "Not run" is said of a key only if, during the call, the key was read as free
-// or as bound to a ticket that is now void.
+// A call under a key ends as "not run" only if, during the call, the key was
+// read as free or as bound to a ticket that is now void.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,14 +17,14 @@
 using namespace ospreyspur;
 
 static constexpr unsigned MaxClaimTries = 3;
-/// A key may be claimed during this part of a lease after it was first read;
-/// the rest is for writes that take effect late.
+/// A key may be claimed within ClaimLease / ClaimTimeShare after it was first
+/// read; the rest of the lease allows for writes that take effect late.
 static constexpr int ClaimTimeShare = 2;
 static constexpr Duration PlatformRetryAfter = std::chrono::seconds(2);
 
 void EntryNode::claim(Call &call, TimePoint now) {
-  // Since the key was read, another entry's claim may have come and lapsed, and
-  // with it all trace of a run.
+  // Since the key was read, another entry's claim may have been written and
+  // expired, leaving no trace of its run.
   assert(call.ClaimReadAt && "a key is read before it is claimed");
   if (now - *call.ClaimReadAt >= Limits.ClaimLease / ClaimTimeShare) {
     finishWith(call, ResultCode::ClaimUnchecked);
@@ -73,8 +73,8 @@
     adoptClaim(call, reply, now);
     return;
   }
-  // Either the claim that we meant to replace has lapsed, or the write may have
-  // taken effect, perhaps later: read back.
+  // Read the key again: either the claim to replace has expired, or the write
+  // may have taken effect or may still do so.
   readClaim(call, now);
 }
 
@@ -106,7 +106,7 @@
     abandonClaim(call);
 }
 
-/// The key is bound as \p reply says, by us or by another entry.
+/// Dispatches under the claim in \p reply, which this or another entry wrote.
 void EntryNode::adoptClaim(Call &call, const KvReply &reply, TimePoint now) {
   Result<Claim> claim = parseClaim(reply.Value);
   if (!claim) {
@@ -122,9 +122,10 @@
   dispatch(call, now);
 }
 
-/// The platform does not answer. If the key was never read, an earlier try may
-/// have run. If it was read as free, no earlier try had run by then, and this
-/// one sent nothing to run; a claim of ours that stands serves the next try.
+/// Ends a call whose claim cannot be read or written. If the key was never
+/// read, an earlier attempt may have run. If the key was read as free, no
+/// earlier attempt had run by then and this call has dispatched nothing; a
+/// claim that this call did write is used by the next attempt.
 void EntryNode::abandonClaim(Call &call) {
   call.RetryAfter = PlatformRetryAfter;
   finishWith(call, call.Permit ? ResultCode::PlatformUnavailable
--- a/lib/Routing/EntryCrashes.cpp
+++ b/lib/Routing/EntryCrashes.cpp
@@ -1,7 +1,8 @@
-//===- EntryCrashes.cpp - requests that end endpoints, at an entry --------===//
+//===- EntryCrashes.cpp - requests that crash endpoints, at an entry ------===//
 //
-// The part of EntryNode that attributes ended endpoints to requests, isolates
-// suspects, and replicates both to the other entries through relays.
+// The part of EntryNode that attributes endpoint crashes to requests, isolates
+// suspect requests, and replicates crashes and suspect runs to the other
+// entries through relays.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,13 +13,13 @@
 
 using namespace ospreyspur;
 
-/// Upper bound of the random backoff before a suspect with several crashes is
-/// sent; many times a relay's latency.
+/// Upper bound of the random backoff before a suspect request with several
+/// crashes is dispatched. The bound is many times a relay's latency.
 static constexpr Duration BackoffSpread = std::chrono::milliseconds(200);
-/// Most runs in one report.
+/// Maximum number of suspect runs in one report.
 static constexpr std::size_t MaxToldRuns = 64;
 
-/// Identifies an endpoint's life across entries.
+/// Returns a digest that identifies an endpoint's incarnation at all entries.
 static LifeDigest lifeOf(const EndpointId &endpoint, const Finish &msg) {
   return digestLife(EndpointId(endpoint.get() + '/' +
                                std::to_string(msg.Id.Issuer.get()) + '/' +
@@ -40,8 +41,8 @@
   judgeCrashes(now);
 }
 
-/// Judgement waits for the reports of the other entries; a lone entry has none
-/// to wait for.
+/// Decides which suspect requests to quarantine. The decision waits for the
+/// reports of other entries, except at an entry that knows of no other.
 void EntryNode::judgeCrashes(TimePoint now) {
   bool isAlone = Reporter.entryCount(now) == 1;
   for (RequestDigest it :
@@ -98,9 +99,10 @@
   return Crashes.standingOf(call.Request.Digest) == CrashStanding::Quarantined;
 }
 
-/// Whether another run of the same suspect goes first: running them one at a
-/// time bounds the endpoints that are lost before it is quarantined. From the
-/// second crash on a random backoff keeps entries from starting at once.
+/// Whether the call must wait for another run of the same suspect request.
+/// Running a suspect request once at a time bounds the number of endpoints that
+/// it can crash before it is quarantined. From the second crash on, a random
+/// backoff keeps entries from dispatching it at the same time.
 bool EntryNode::mustDefer(Call &call, TimePoint now) {
   if (!isSuspect(call) || call.Request.WantsTicket)
     return false;
@@ -138,7 +140,8 @@
   touch(call, Limits.DeferPollInterval, now);
 }
 
-/// Resumes a deferred call. A caller's ticket names its agent.
+/// Resumes a deferred call. A call with a caller's ticket needs no probing, as
+/// the ticket names its agent.
 void EntryNode::resume(Call &call, TimePoint now) {
   if (!call.Request.CallerTicket)
     startProbing(call, now);
@@ -148,8 +151,8 @@
     dispatch(call, now);
 }
 
-/// The endpoints that run other suspects: if one of them ended, its crash could
-/// not be attributed.
+/// Returns the endpoints that run other suspect requests. If such an endpoint
+/// crashed with both requests, the crash could not be attributed.
 std::set<LifeDigest> EntryNode::endpointsOfSuspects(const Call &call,
                                                     TimePoint now) const {
   if (!isSuspect(call))
@@ -161,8 +164,8 @@
   return out;
 }
 
-/// The suspects in flight. Only an agent knows its endpoint's current life, so
-/// the endpoint's id stands in for it.
+/// Returns the dispatched suspect requests. Only an agent knows its endpoint's
+/// current incarnation, so the digest of the endpoint's id replaces it here.
 std::vector<SuspectRun> EntryNode::suspectRuns() const {
   std::vector<SuspectRun> out;
   if (Crashes.isEmpty())
--- a/lib/Routing/EntryMessages.cpp
+++ b/lib/Routing/EntryMessages.cpp
@@ -21,7 +21,7 @@
 template <typename T>
 void EntryNode::handle(const EndpointId & /*from*/, const T & /*other*/,
                        TimePoint /*now*/) {
-  // Messages of other roles are not for an entry.
+  // Messages for other roles are ignored.
 }
 
 void EntryNode::handle(const EndpointId &from, const ProbeReply &reply,
@@ -48,12 +48,13 @@
   touch(*call, call->Deadline - now, now);
 }
 
-/// The present dispatch ran or may have run, and gives no whole answer.
+/// Handles the end of a dispatch that ran or may have run without giving a
+/// complete response.
 void EntryNode::onRunFailed(Call &call, const Finish &msg, TimePoint now) {
   CallId id = call.Request.Id;
   if (msg.Code == ResultCode::EndpointFailed)
     noteCrash(call, msg, now);
-  // The end may have been the one that quarantines the request.
+  // This crash may have quarantined the request and ended the call.
   if (!Calls.contains(id))
     return;
   if (!mayRunElsewhere(call)) {
@@ -104,7 +105,8 @@
   passOn(*call, now);
 }
 
-/// Gives the caller what is in order, and the end if that was reached.
+/// Sends the caller all in-order bytes, and finishes the call if the response
+/// is complete.
 void EntryNode::passOn(Call &call, TimePoint now) {
   if (!call.HasHead)
     return;
--- a/lib/Routing/EntryNode.cpp
+++ b/lib/Routing/EntryNode.cpp
@@ -1,7 +1,7 @@
-//===- EntryNode.cpp - the course of a call -------------------------------===//
+//===- EntryNode.cpp - the life cycle of a call ---------------------------===//
 //
-// Probing, dispatching and ending. What concerns idempotency keys stands in
-// EntryClaims.cpp, what concerns agents' messages in EntryMessages.cpp.
+// Probes, dispatches and ends calls. EntryClaims.cpp handles idempotency keys,
+// EntryMessages.cpp agents' messages and EntryCrashes.cpp suspect requests.
 //
 //===----------------------------------------------------------------------===//
 
@@ -111,7 +111,8 @@
 
 void EntryNode::chooseOffer(Call &call, TimePoint now) {
   const ServiceView *service = findService(call);
-  // Whoever has left since its offer was promised no new request.
+  // An endpoint that announced its leaving after its offer must get no new
+  // request: LeavingSeen has confirmed this to its agent.
   std::erase_if(call.Offers, [this](const ProbeOffer &it) {
     return KnownLeaving.contains(it.Endpoint);
   });
@@ -124,7 +125,8 @@
       call.RetryAfter = std::max(call.RetryAfter, it.Reply.RetryAfter);
     }
     if (call.Offers.empty()) {
-      // Nobody answered: ask again, the answers may only be late.
+      // No endpoint replied. Probe the same endpoints again, as their replies
+      // may only be late.
       call.Tried.clear();
       call.IgnoresSilence = true;
     }
@@ -134,7 +136,7 @@
       finishWith(call, call.LastRefusal);
     return;
   }
-  // The others stay usable for another try.
+  // The endpoints that were not chosen may be used by a retry.
   for (const ProbeOffer &it : call.Offers)
     call.Tried.erase(it.Endpoint);
   if (mustDefer(call, now)) {
@@ -197,20 +199,21 @@
   touch(call, Limits.ResolveInterval, now);
 }
 
-/// Whether the call may run at another endpoint although its present dispatch
+/// Whether the call may run at another endpoint although its current dispatch
 /// may have run.
 bool EntryNode::mayRunElsewhere(const Call &call) const {
   if (!call.Request.IsRepeatable || call.Request.CallerTicket ||
       call.Request.IdempotencyKey)
     return false;
-  // A begun answer goes on elsewhere only if it can be resumed; another plain
-  // endpoint would begin anew, perhaps with another answer.
+  // A response that has begun can move to another endpoint only if it can be
+  // resumed there. A plain HTTP endpoint would start over, perhaps with a
+  // different response.
   const ServiceView *service = findService(call);
   return !call.HasHead || (service && service->Kind == ServiceKind::Model);
 }
 
-/// Goes to another endpoint. The caller of this function has made sure that the
-/// present dispatch never starts, or that the request may be repeated.
+/// Retries the call at another endpoint. The caller of this function ensures
+/// that the current dispatch never starts, or that the request may run again.
 void EntryNode::moveElsewhere(Call &call, ResultCode reason, TimePoint now) {
   call.LastRefusal = reason;
   bool isTied = call.Request.CallerTicket.has_value();
@@ -229,7 +232,9 @@
   startProbing(call, now);
 }
 
-/// The dispatch's fate is unknown from now on.
+/// Handles the loss of contact with the agent, after which the outcome of the
+/// dispatch is unknown: retries the call if it may run again, otherwise
+/// resolves the dispatch.
 void EntryNode::loseContact(Call &call, TimePoint now) {
   SuspectUntil[call.Permit->Endpoint] = now + Limits.SuspectTime;
   if (!mayRunElsewhere(call)) {
@@ -242,8 +247,8 @@
 }
 
 EntryActions EntryNode::onLinkDown(const EndpointId &to, TimePoint now) {
-  // Another agent may stand there next; one that is still leaving says so on
-  // the new link.
+  // The agent may have been replaced. An agent that is still leaving announces
+  // this on the new link.
   KnownLeaving.erase(to);
   Reporter.onLinkDown(to, now);
   SuspectUntil[to] = now + Limits.SuspectTime;
--- a/lib/Routing/FairQueue.cpp
+++ b/lib/Routing/FairQueue.cpp
@@ -1,8 +1,8 @@
 //===- FairQueue.cpp - deficit round robin --------------------------------===//
 //
 // A flow that reaches the front with too little deficit for its next request
-// earns its weight and goes to the back; a flow that empties loses its deficit,
-// so that an idle workspace saves nothing up.
+// earns its weight and moves to the back. An emptied flow loses its deficit, so
+// that an idle workspace accumulates no credit.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,8 @@
 using namespace ospreyspur;
 
 void FairQueue::push(QueuedRequest request) {
-  assert(request.Cost > 0 && request.Weight > 0 && "cost and weight count");
+  assert(request.Cost > 0 && request.Weight > 0 &&
+         "cost and weight are positive");
   Ring &ring = Rings[request.Priority];
   auto isOwn = [&](const Flow &flow) {
     return flow.Workspace == request.Workspace;
--- a/lib/Routing/ProbePicker.cpp
+++ b/lib/Routing/ProbePicker.cpp
@@ -1,6 +1,7 @@
 //===- ProbePicker.cpp - probe candidates and offers ----------------------===//
 //
-// Candidates are drawn without replacement, the same data centre's first.
+// Candidates are drawn at random without replacement: the prompt's home
+// endpoint first, then endpoints in the entry's data centre, then all others.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Routing/Reassembler.cpp
+++ b/lib/Routing/Reassembler.cpp
@@ -1,7 +1,8 @@
-//===- Reassembler.cpp - ordering pieces ----------------------------------===//
+//===- Reassembler.cpp - reassembly of chunks -----------------------------===//
 //
-// Pieces may overlap: an agent that is asked again sends from the offset asked
-// for. Bytes below the next offset were passed on and are cut off.
+// Chunks may overlap, as an agent that gets a repeated dispatch sends again
+// from the requested offset. Bytes below the next offset were already emitted
+// and are discarded.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Routing/RetryBudget.cpp
+++ b/lib/Routing/RetryBudget.cpp
@@ -1,6 +1,7 @@
 //===- RetryBudget.cpp - earning and spending retries ---------------------===//
 //
-// A workspace starts with a full reserve, so that a quiet one may retry too.
+// A workspace starts with a full reserve, so that a workspace with few requests
+// may retry as well.
 //
 //===----------------------------------------------------------------------===//
 
