--- a/unittests/Routing/AtMostOnceTest.cpp
+++ b/unittests/Routing/AtMostOnceTest.cpp
@@ -1,8 +1,9 @@
-//===- AtMostOnceTest.cpp - "not run" is true, nothing runs twice ---------===//
+//===- AtMostOnceTest.cpp - at-most-once runs under random faults ---------===//
 //
-// Thousands of seeded interleavings with kills, freezes, lost, doubled and late
-// messages, platform faults and callers that ask again. The checker joins what
-// callers were told with what endpoints ran.
+// Thousands of seeded interleavings with killed and frozen processes, lost,
+// duplicated and late messages, faults of the key-value store and callers that
+// retry. The checker compares the results that callers received with the runs
+// at the endpoints.
 //
 //===----------------------------------------------------------------------===//
 
@@ -41,7 +42,8 @@
   }
 }
 
-/// Asks under an idempotency key, up to three times, at times at once.
+/// Sends a request under an idempotency key, up to three times and sometimes
+/// concurrently.
 static void askWithKey(RequestWorld &world, const std::string &name) {
   std::uint64_t tries = 1 + world.Scheduler.below(3);
   for (std::uint64_t i = 0; i < tries; ++i) {
@@ -53,7 +55,7 @@
   }
 }
 
-/// Gets a ticket and sends the request under it through several entries.
+/// Gets a ticket and sends the request with the ticket through several entries.
 static void askWithTicket(RequestWorld &world, const std::string &name) {
   CallRecord &record =
       world.ask(world.Scheduler.below(EntryCount), "ticket",
@@ -72,7 +74,7 @@
   world.ask(world.Scheduler.below(EntryCount), name, [](CallerRequest &) {});
 }
 
-/// Asks for something that may run more than once.
+/// Sends a request that may run more than once.
 static void askRepeatable(RequestWorld &world, const std::string &name) {
   world.ask(world.Scheduler.below(EntryCount), "again " + name,
             [&](CallerRequest &it) {
@@ -89,21 +91,22 @@
   return a.Began <= *b.Ended && b.Began <= *a.Ended;
 }
 
-/// Whether \p run proves that \p call was wrongly told "not run".
+/// Whether \p run proves that \p call wrongly ended as "not run".
 static bool contradicts(const RequestWorld &world, const CallRecord &call,
                         const RunRecord &run) {
   if (run.Name != call.Name || run.Began > *call.Ended)
     return false;
   if (run.Began < call.Began)
     return true;
-  // A run during the call is another's only if another call was under way.
+  // A run during the call belongs to another call only if another call of the
+  // same name overlaps.
   for (const auto &it : world.Calls)
     if (it.get() != &call && it->Name == call.Name && overlaps(*it, call))
       return false;
   return true;
 }
 
-/// The first broken promise, or "".
+/// Returns a description of the first violated guarantee, or "".
 static std::string findFault(const RequestWorld &world) {
   std::map<std::string, unsigned> runs;
   for (const RunRecord &it : world.Runs)
@@ -130,7 +133,8 @@
   return "";
 }
 
-TEST_CASE("under random faults nothing runs twice and not-run is true") {
+TEST_CASE("under random faults no request runs twice, and none that ended as "
+          "not run has run") {
   std::map<Outcome, unsigned> told;
   std::size_t runs = 0;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
@@ -156,7 +160,7 @@
       if (!it->IsCut)
         ++told[describe(it->Code).Kind];
   }
-  // The runs must have reached every kind of end, or they prove little.
+  // The test is meaningful only if calls ended with every kind of outcome.
   CHECK(runs > Seeds);
   CHECK(told[Outcome::Complete] > Seeds);
   CHECK(told[Outcome::NotRun] > Seeds / 10);
@@ -166,7 +170,7 @@
           ", unknown ", told[Outcome::Unknown]);
 }
 
-TEST_CASE("without faults every request is answered whole") {
+TEST_CASE("without faults every request gets a complete response") {
   RequestWorld world(7, {0, 0, 0, 0}, EntryCount, AgentCount);
   for (unsigned i = 0; i < 6; ++i)
     askOnce(world, "r" + std::to_string(i));
@@ -176,7 +180,7 @@
     CHECK(it->Code == ResultCode::Ok);
 }
 
-TEST_CASE("an entry that wakes after its claim has lapsed starts nothing") {
+TEST_CASE("an entry that resumes after its claim has expired starts no run") {
   constexpr Duration Lease = seconds(3);
   constexpr Duration Freeze = seconds(8);
   std::size_t lapsed = 0;
@@ -191,7 +195,8 @@
     };
     random.runUntil(random.now() + seconds(1));
     ask(0);
-    // Somewhere between the reading of the key and the dispatch.
+    // Freeze the entry at a random point between the first read of the key and
+    // the dispatch.
     random.runUntil(random.now() + milliseconds(random.below(20)));
     bool hasStarted = !world.Runs.empty();
     world.freezeEntry(0, Freeze);
@@ -210,7 +215,8 @@
   CHECK(lapsed > 100);
 }
 
-TEST_CASE("with all endpoints leaving callers are told at once") {
+TEST_CASE(
+    "with all endpoints leaving, callers are refused as not run at once") {
   RequestWorld world(3, {0, 0, 0, 0}, EntryCount, AgentCount);
   RandomScheduler &random = world.Scheduler;
   random.runUntil(random.now() + seconds(1));
@@ -226,7 +232,7 @@
     bool isNotRun = describe(it->Code).Kind == Outcome::NotRun;
     CHECK(isNotRun);
   }
-  // They come back; requests are served again.
+  // Once the endpoints stop leaving, requests are served again.
   for (std::size_t i = 0; i < AgentCount; ++i)
     world.setLeaving(i, false);
   random.runUntil(random.now() + seconds(2));
--- a/unittests/Routing/EndedEngineTest.cpp
+++ b/unittests/Routing/EndedEngineTest.cpp
@@ -1,9 +1,9 @@
-//===- EndedEngineTest.cpp - engines that end, through agents -------------===//
+//===- EndedEngineTest.cpp - engine crashes on the path through agents ----===//
 //
-// Several entries and agents on virtual time. Seen: on the path through agents
-// one request that ends whoever runs it ended an engine each time it was sent.
-// Cause: an entry kept nothing of a failed run, an agent could not tell the end
-// of its engine from a cut answer, and entries told each other nothing.
+// Several entries and agents on virtual time. Guards against a request that
+// crashes an engine each time it is sent. This happens if an entry keeps no
+// record of failed runs, if an agent cannot distinguish a crash of its engine
+// from a truncated response, or if entries do not share crash reports.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,12 +18,14 @@
 
 namespace {
 constexpr unsigned Seeds = 20;
-/// Three before it can be known, three more while the news travels.
+/// Three crashes before the request can be quarantined, and three more while
+/// the crash reports propagate.
 constexpr unsigned MostEnds = 6;
 constexpr std::size_t EntryCount = 3;
 constexpr std::size_t AgentCount = 12;
 
-/// A world whose messages arrive, with requests that may be repeated.
+/// A deployment with a deadly request and, by default, no faults; all requests
+/// may run more than once.
 class EngineWorld : public RequestWorld {
 public:
   explicit EngineWorld(std::uint64_t seed, FaultRates rates = {0, 0, 0, 0})
@@ -32,7 +34,8 @@
     setDeadly("deadly");
   }
 
-  /// Callers ask for \p name every \p pause until \p end, at entry after entry.
+  /// Sends the request \p name every \p pause until \p end, to the entries in
+  /// turn.
   void askOften(const std::string &name, Duration pause, TimePoint end) {
     std::size_t n = 0;
     for (TimePoint at = Scheduler.now(); at < end; at += pause, ++n)
@@ -62,7 +65,8 @@
 };
 } // namespace
 
-TEST_CASE("through agents, copies at several entries end a few engines only") {
+TEST_CASE("through agents, copies of a deadly request at several entries crash "
+          "only a few engines") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     EngineWorld world(seed);
@@ -81,8 +85,8 @@
   }
 }
 
-TEST_CASE("through agents, what ends engines is known when entries begin anew "
-          "without the store") {
+TEST_CASE("through agents, restarted entries run no deadly request while the "
+          "key-value store is unavailable") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     EngineWorld world(seed);
@@ -94,7 +98,8 @@
     unsigned before = world.deadlyEnds();
     CHECK(before >= 1);
     CHECK(before <= MostEnds);
-    // One by one, all at once, and two relays beside them.
+    // Kill the entries one by one, then all at once, then one together with two
+    // relays.
     for (std::size_t i = 0; i < EntryCount; ++i) {
       world.killEntry(i);
       world.Scheduler.runUntil(world.Scheduler.now() + milliseconds(400));
@@ -110,8 +115,8 @@
   }
 }
 
-TEST_CASE("through agents, a few engines end while entries are killed and cut "
-          "off") {
+TEST_CASE("through agents, a deadly request crashes only a few engines while "
+          "entries are killed and disconnected") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     EngineWorld world(seed, {0, 15, 0, 2});
@@ -145,15 +150,14 @@
   }
 }
 
-TEST_CASE("through agents, no request is refused because engines end in "
-          "waves") {
+TEST_CASE("through agents, unrelated engine crashes quarantine no request") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     EngineWorld world(seed);
     TimePoint begin = world.Scheduler.now();
     world.Scheduler.runUntil(begin + milliseconds(200));
     world.askOften("innocent", milliseconds(15), begin + seconds(8));
-    // The same request again and again, as from a caller who polls.
+    // The same request repeatedly, as from a polling caller.
     for (unsigned k = 0; k < 300; ++k)
       world.Scheduler.at(begin + milliseconds(200 + 25 * k), [&world, k] {
         world.ask(k % EntryCount, "poll",
--- a/unittests/Routing/EngineLifeTest.cpp
+++ b/unittests/Routing/EngineLifeTest.cpp
@@ -1,7 +1,7 @@
-//===- EngineLifeTest.cpp - what an agent says of its engine's end --------===//
+//===- EngineLifeTest.cpp - how an agent reports engine crashes -----------===//
 //
-// An agent tells the end of its engine from a cut answer, and numbers the
-// engine's lives so that one end counts once at every entry.
+// An agent distinguishes a crash of its engine from a truncated response, and
+// numbers the engine's incarnations so that every entry counts a crash once.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,14 +14,14 @@
 using std::chrono::seconds;
 
 namespace {
-/// An agent and one entry's link to it.
+/// An agent with a link from one entry.
 class LoneAgent {
 public:
   LoneAgent() : Node(EndpointId("e"), Incarnation(7), "key", AgentLimits(), 1) {
     Node.setLeaving(false, Now);
   }
 
-  /// Runs a new request. Returns its id.
+  /// Starts a new request and returns its id.
   RequestId start() {
     RequestId id;
     for (const AgentAction &it : Node.onMessage(Link, Probe{}, Now))
@@ -38,7 +38,7 @@
     return id;
   }
 
-  /// What the agent answers to a probe.
+  /// Returns the agent's reply to a probe.
   ResultCode probe() {
     for (const AgentAction &it : Node.onMessage(Link, Probe{}, Now))
       if (const auto *sent = std::get_if<SendToLink>(&it))
@@ -51,7 +51,7 @@
     return findFinish(Node.onRunEnd(id, code, Now));
   }
 
-  /// Another entry attaches to the latest request.
+  /// Attaches another entry to the latest request.
   Finish attach() {
     Dispatch order;
     order.Permit = Permit;
@@ -76,7 +76,8 @@
 };
 } // namespace
 
-TEST_CASE("one end of an engine has one number in all that it ended") {
+TEST_CASE("all runs that one engine crash ended report the same incarnation "
+          "number") {
   LoneAgent agent;
   RequestId first = agent.start();
   RequestId second = agent.start();
@@ -88,7 +89,7 @@
   CHECK(agent.attach().Life == two.Life);
 }
 
-TEST_CASE("each end of an engine has a number of its own") {
+TEST_CASE("separate engine crashes report different incarnations") {
   LoneAgent agent;
   Finish one = agent.end(agent.start(), ResultCode::EndpointFailed);
   agent.Now += seconds(1);
@@ -96,7 +97,7 @@
   CHECK(one.Life != two.Life);
 }
 
-TEST_CASE("a cut answer is no end of the engine") {
+TEST_CASE("a truncated response does not count as an engine crash") {
   LoneAgent agent;
   Finish cut = agent.end(agent.start(), ResultCode::AnswerBroken);
   Finish next = agent.end(agent.start(), ResultCode::EndpointFailed);
@@ -104,7 +105,7 @@
   CHECK(cut.Life == next.Life);
 }
 
-TEST_CASE("an engine that ends while its endpoint leaves speaks against no "
+TEST_CASE("an engine exit while the endpoint is leaving is not attributed to a "
           "request") {
   LoneAgent agent;
   RequestId id = agent.start();
@@ -113,9 +114,9 @@
         ResultCode::AnswerBroken);
 }
 
-/// Guards against an endpoint that is down and draws requests, as it always has
-/// the shortest queue.
-TEST_CASE("an agent makes no offers while its endpoint is found down") {
+/// Guards against an endpoint that is down and attracts all requests because
+/// its queue is always the shortest.
+TEST_CASE("an agent makes no offers while its endpoint is down") {
   LoneAgent agent;
   CHECK(agent.probe() == ResultCode::Ok);
   agent.end(agent.start(), ResultCode::EndpointUnreachable);
--- a/unittests/Routing/FailingRunTest.cpp
+++ b/unittests/Routing/FailingRunTest.cpp
@@ -1,8 +1,7 @@
-//===- FailingRunTest.cpp - a request whose runs end its endpoints --------===//
+//===- FailingRunTest.cpp - a request that crashes its endpoints ----------===//
 //
-// On the path through agents: each engine that runs one request ends, and its
-// agent says that the endpoint failed while it ran it. The request comes again
-// and again.
+// On the path through agents: a request crashes each engine that runs it, the
+// agents report EndpointFailed, and the caller sends the request repeatedly.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,8 +14,8 @@
 using std::chrono::seconds;
 
 namespace {
-/// An entry before agents each of which offers at once, and whose engine ends
-/// under whatever it is given.
+/// An entry whose agents offer capacity at once and whose engines crash on
+/// every request.
 class EndingAgents {
 public:
   explicit EndingAgents(unsigned endpoints)
@@ -33,12 +32,12 @@
     Entry.setSnapshot(snapshot);
   }
 
-  /// Sends the request and lets it take its course. Returns how it ended.
+  /// Sends the request, runs the call to its end and returns the result.
   ResultCode call() {
     CallerRequest request;
     request.Id = CallId(++LastCall);
     request.Service = ServiceId("s");
-    request.Body = "ends whoever runs it";
+    request.Body = "crashes every engine";
     request.IsRepeatable = true;
     request.Deadline = seconds(8);
     Told = ResultCode::Ok;
@@ -84,10 +83,12 @@
 };
 } // namespace
 
-/// Three before it can be known, three more while the news travels.
+/// Three runs before the request can be quarantined, and three more while the
+/// crash reports propagate.
 static constexpr unsigned MostRuns = 6;
 
-TEST_CASE("through agents, a request that ends its endpoints is not sent on") {
+TEST_CASE("through agents, a request that crashes its endpoints is run only a "
+          "few times") {
   EndingAgents world(32);
   for (unsigned i = 0; i < 12; ++i)
     CHECK(world.call() != ResultCode::Ok);
--- a/unittests/Routing/FairQueueTest.cpp
+++ b/unittests/Routing/FairQueueTest.cpp
@@ -1,6 +1,6 @@
-//===- FairQueueTest.cpp - shares and places in the queue -----------------===//
+//===- FairQueueTest.cpp - weighted shares and queue positions ------------===//
 //
-// Against what really happens when the queue is emptied.
+// Compares estimated positions and shares with the actual order of service.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,7 +29,8 @@
   return request;
 }
 
-TEST_CASE("the place of a new request is about where it is then served") {
+TEST_CASE("the estimated position of a new request is close to its actual "
+          "position") {
   std::mt19937_64 random(1);
   for (int round = 0; round < 2000; ++round) {
     FairQueue queue;
@@ -50,13 +51,14 @@
     while (queue.pop()->Id != last.Id)
       ++served;
     INFO("round " << round << ", workspace " << w);
-    // Each other workspace may be one turn of its weight further on.
+    // Each other workspace may be ahead by one turn, which serves as many
+    // requests as its weight.
     CHECK(estimated - served <= Workspaces * (Workspaces + 1) / 2);
     CHECK(served - estimated <= Workspaces * (Workspaces + 1) / 2);
   }
 }
 
-TEST_CASE("workspaces that always wait are served by weight") {
+TEST_CASE("workspaces with a constant backlog are served by weight") {
   FairQueue queue;
   std::uint64_t n = 0;
   for (std::uint32_t w = 0; w < Workspaces; ++w)
@@ -72,7 +74,7 @@
 }
 
 namespace {
-/// An agent whose one slot is taken.
+/// An agent whose only slot is occupied.
 class BusyAgent {
 public:
   BusyAgent() : Agent(EndpointId("e"), Incarnation(1), "key", limits(), 1) {
@@ -80,7 +82,7 @@
     dispatch("flood");
   }
 
-  /// The answer to a probe of \p workspace with \p timeLeft.
+  /// Returns the reply to a probe of \p workspace with \p timeLeft.
   ProbeReply probe(const std::string &workspace, Duration timeLeft) {
     Probe probe;
     probe.Workspace = WorkspaceId(workspace);
@@ -90,7 +92,8 @@
     return std::get<ProbeReply>(std::get<SendToLink>(actions.back()).Body);
   }
 
-  /// Whether a request of \p workspace was taken.
+  /// Probes and then dispatches a request of \p workspace; false if the probe
+  /// was refused.
   bool dispatch(const std::string &workspace) {
     ProbeReply offer = probe(workspace, seconds(60));
     if (offer.Code != ResultCode::Ok)
@@ -116,7 +119,7 @@
 };
 } // namespace
 
-TEST_CASE("a flood fills its own share of the wait, not the others'") {
+TEST_CASE("a flood of one workspace does not use up other workspaces' share") {
   BusyAgent agent;
   std::size_t taken = 0;
   while (agent.dispatch("flood"))
@@ -126,7 +129,7 @@
   CHECK(agent.dispatch("other"));
 }
 
-TEST_CASE("a request that cannot end before its deadline is refused at once") {
+TEST_CASE("a request that cannot finish by its deadline is refused at once") {
   BusyAgent agent;
   ProbeReply patient = agent.probe("w", seconds(10));
   CHECK(patient.Code == ResultCode::Ok);
--- a/unittests/Routing/LeavingTest.cpp
+++ b/unittests/Routing/LeavingTest.cpp
@@ -1,8 +1,8 @@
 //===- LeavingTest.cpp - leaving endpoints at entries and agents ----------===//
 //
-// An entry that was told asks a leaving endpoint no more, and asks it again
-// once a new agent stands there. An agent's gate holds whatever entries
-// believe.
+// An entry that was notified no longer probes a leaving endpoint, and probes it
+// again once the agent has been replaced. A leaving agent admits no requests
+// even from entries with a stale view.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,7 +28,7 @@
     Entry.setSnapshot(snapshot);
   }
 
-  /// Whether a new request makes the entry ask the endpoint.
+  /// Sends a new request and returns whether the entry probes the endpoint.
   bool isAsked() {
     CallerRequest request;
     request.Id = CallId(++LastCall);
@@ -48,7 +48,7 @@
 };
 } // namespace
 
-TEST_CASE("an entry leaves out an endpoint that said it is leaving") {
+TEST_CASE("an entry does not probe an endpoint that announced its leaving") {
   OneEndpoint fixture;
   CHECK(fixture.isAsked());
   fixture.Entry.onMessage(fixture.Id, Leaving{true}, Start);
@@ -57,17 +57,17 @@
   CHECK(fixture.isAsked());
 }
 
-TEST_CASE("an endpoint whose leaving agent was replaced is asked again") {
+TEST_CASE("an endpoint whose leaving agent was replaced is probed again") {
   OneEndpoint fixture;
   fixture.Entry.onMessage(fixture.Id, Leaving{true}, Start);
   fixture.Entry.onLinkDown(fixture.Id, Start);
-  // The link's loss makes the endpoint suspect for a while.
+  // After the loss of the link the endpoint is excluded for SuspectTime.
   fixture.Entry.onTimer(Start + EntryLimits().SuspectTime);
   fixture.Entry.onMessage(fixture.Id, ProbeReply{}, Start);
   CHECK(fixture.isAsked());
 }
 
-/// The dispatch of request \p n, with a ticket that \p agent gave for it.
+/// Returns the dispatch of request \p n with a ticket issued by \p agent.
 static Dispatch makeDispatch(AgentNode &agent, std::uint64_t n) {
   AgentActions asked =
       agent.onMessage(Link, Probe{CallId(n), {}, seconds(5)}, Start);
@@ -79,7 +79,8 @@
 }
 
 TEST_CASE(
-    "a leaving agent starts nothing, hands back what waits, ends what runs") {
+    "a leaving agent starts no run, refuses queued requests and completes "
+    "running ones") {
   AgentLimits limits;
   limits.Slots = 1;
   AgentNode agent(EndpointId("e"), Incarnation(1), "key", limits, 1);
@@ -104,7 +105,7 @@
         ResultCode::EndpointLeaving);
   CHECK_FALSE(agent.isIdle());
 
-  // What was refused stays refused when the endpoint comes back.
+  // A refused request stays refused when the endpoint is no longer leaving.
   agent.setLeaving(false, Start);
   actions = agent.onMessage(Link, late, Start);
   REQUIRE(actions.size() == 1);
@@ -117,7 +118,7 @@
   CHECK(agent.isIdle());
 }
 
-TEST_CASE("a leaving agent knows which entries have not confirmed yet") {
+TEST_CASE("a leaving agent tracks which entries have not confirmed yet") {
   AgentNode agent(EndpointId("e"), Incarnation(1), "key", AgentLimits(), 1);
   agent.setLeaving(false, Start);
   constexpr LinkId Other{2};
@@ -131,15 +132,15 @@
   CHECK_FALSE(agent.isLeavingSeen());
   agent.onLinkDown(Other, Start);
   CHECK(agent.isLeavingSeen());
-  // A new entry is told before it is refused.
+  // A new entry is notified before its probe is refused.
   actions = agent.onMessage(Late, Probe{CallId(3), {}, seconds(5)}, Start);
   REQUIRE(actions.size() == 2);
   CHECK(std::get<Leaving>(std::get<SendToLink>(actions[0]).Body).IsLeaving);
   CHECK_FALSE(agent.isLeavingSeen());
 }
 
-TEST_CASE(
-    "an entry that confirmed sends nothing more, whatever it was offered") {
+TEST_CASE("an entry that confirmed the leaving does not use an outstanding "
+          "offer") {
   OneEndpoint fixture;
   CHECK(fixture.isAsked());
   EntryActions actions =
@@ -154,14 +155,15 @@
     CHECK_FALSE(std::holds_alternative<SendToAgent>(it));
 }
 
-/// What \p agent answers to a probe at \p now.
+/// Returns the reply of \p agent to a probe at \p now.
 static ResultCode probeAt(AgentNode &agent, TimePoint now) {
   AgentActions actions =
       agent.onMessage(Link, Probe{CallId(1), {}, seconds(5)}, now);
   return std::get<ProbeReply>(std::get<SendToLink>(actions.back()).Body).Code;
 }
 
-TEST_CASE("an agent takes no work before it knows whether it is leaving") {
+TEST_CASE("an agent admits no requests before it knows whether its endpoint is "
+          "leaving") {
   AgentNode agent(EndpointId("e"), Incarnation(1), "key", AgentLimits(), 1);
   CHECK(probeAt(agent, Start) == ResultCode::EndpointStarting);
   agent.setLeaving(true, Start);
@@ -170,7 +172,7 @@
   CHECK(probeAt(agent, Start) == ResultCode::Ok);
 }
 
-TEST_CASE("an agent that was paused hands back what waits") {
+TEST_CASE("an agent that was paused refuses its queued requests") {
   AgentLimits limits;
   limits.Slots = 1;
   AgentNode agent(EndpointId("e"), Incarnation(1), "key", limits, 1);
@@ -179,11 +181,12 @@
   Dispatch waits = makeDispatch(agent, 2);
   agent.onMessage(Link, runs, Start);
   agent.onMessage(Link, waits, Start);
-  // Without a pause the timer comes in time and nothing happens.
+  // Without a pause the timer runs in time and has no effect.
   TimePoint due = *agent.nextTimer();
   CHECK(due - Start < seconds(1));
   CHECK(agent.onTimer(due).empty());
-  // The end of the first run would start the second, long after it came.
+  // After the pause, the end of the first run must not start the second
+  // request, which arrived long ago.
   AgentActions actions =
       agent.onRunEnd(runs.Permit.Id, ResultCode::Ok, due + seconds(3));
   REQUIRE(actions.size() == 2);
@@ -194,12 +197,12 @@
 }
 
 TEST_CASE(
-    "a ticket starts nothing after its end, even when its record is gone") {
+    "no run starts on an expired ticket, even after its record was dropped") {
   AgentNode agent(EndpointId("e"), Incarnation(1), "key", AgentLimits(), 1);
   agent.setLeaving(false, Start);
   Dispatch refused = makeDispatch(agent, 1);
   Dispatch late = makeDispatch(agent, 2);
-  // An entry was told that the first never starts.
+  // An entry learns that the first request never starts.
   AgentActions actions = agent.onMessage(Link, Resolve{refused.Permit}, Start);
   auto reply = std::get<ResolveReply>(std::get<SendToLink>(actions[0]).Body);
   CHECK(reply.State == RunState::NeverStarts);
--- a/unittests/Routing/ProbePickerTest.cpp
+++ b/unittests/Routing/ProbePickerTest.cpp
@@ -1,6 +1,7 @@
 //===- ProbePickerTest.cpp - candidates and offers ------------------------===//
 //
-// Against plain restatements of the rules, on drawn fleets and offers.
+// Compares the picker with a direct implementation of the rules, on random
+// fleets and offers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,7 +33,8 @@
 
 static bool acceptsAll(const EndpointId & /*id*/) { return false; }
 
-TEST_CASE("candidates are distinct, stay, and come home first, then near") {
+TEST_CASE("candidates are distinct and not leaving, the home endpoint first, "
+          "then endpoints of the own data centre") {
   std::mt19937_64 random(1);
   for (std::size_t n = 0; n < 40; ++n) {
     ServiceView service = makeService(n);
@@ -56,13 +58,14 @@
       std::size_t nearChosen = 0;
       for (const EndpointView &it : service.Endpoints)
         nearChosen += it.DataCentre == nearPlace && distinct.contains(it.Id);
-      // All but the home are near, as long as there are enough near ones.
+      // All candidates but the home endpoint are in the own data centre, as
+      // long as enough endpoints are there.
       CHECK(nearChosen + 1 >= std::min(near, chosen.size()));
     }
   }
 }
 
-TEST_CASE("a prompt's home moves only if its endpoint goes") {
+TEST_CASE("a prompt's home moves only if its endpoint is removed") {
   ServiceView all = makeService(30);
   for (std::uint64_t prefix = 1; prefix < 200; ++prefix) {
     const EndpointView *home = findPrefixHome(all, prefix);
@@ -75,7 +78,7 @@
   }
 }
 
-TEST_CASE("the cheapest accepting offer wins") {
+TEST_CASE("the cheapest accepting offer is picked") {
   std::mt19937_64 random(1);
   auto below = [&](std::uint64_t n) { return random() % n; };
   ServiceView service = makeService(10);
--- a/unittests/Routing/ReassemblerTest.cpp
+++ b/unittests/Routing/ReassemblerTest.cpp
@@ -1,8 +1,8 @@
-//===- ReassemblerTest.cpp - the reassembler against a naive one ----------===//
+//===- ReassemblerTest.cpp - compares Reassembler with a naive version ----===//
 //
-// Pieces of an answer in any order, doubled, overlapping, mixed with pieces of
-// attempts that were given up. The naive version keeps all and sorts at the
-// end.
+// Chunks of a response in any order, duplicated, overlapping, and mixed with
+// chunks of abandoned attempts. The naive version stores all chunks and sorts
+// them at the end.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +24,8 @@
 };
 } // namespace
 
-/// All bytes of \p attempt from \p from on, by sorting the whole.
+/// Returns all bytes of \p attempt from offset \p from on, by sorting all
+/// chunks.
 static std::string joinNaively(std::vector<Piece> pieces, AttemptNumber attempt,
                                std::uint64_t from) {
   std::erase_if(pieces, [&](const Piece &it) { return it.Attempt != attempt; });
@@ -39,7 +40,7 @@
   return out;
 }
 
-TEST_CASE("every byte is passed on once and in order") {
+TEST_CASE("every byte is emitted exactly once and in order") {
   for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
     std::mt19937_64 random(seed);
     auto below = [&](std::uint64_t n) { return random() % n; };
@@ -83,7 +84,7 @@
   }
 }
 
-TEST_CASE("an answer with a piece missing is not complete") {
+TEST_CASE("a response with a missing chunk is not complete") {
   Reassembler answer;
   answer.beginAttempt(AttemptNumber(1));
   CHECK(answer.add(AttemptNumber(1), 0, "abc") == "abc");
--- a/unittests/Routing/RequestWorld.cpp
+++ b/unittests/Routing/RequestWorld.cpp
@@ -1,6 +1,7 @@
-//===- RequestWorld.cpp - entries, agents and faults in one process -------===//
+//===- RequestWorld.cpp - a simulated deployment with faults --------------===//
 //
-// The wires between the nodes. It holds no policy of its own.
+// Delivers messages, timers and faults to the nodes, and simulates the engines
+// and the key-value store.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,9 +14,9 @@
 
 static constexpr Duration KvTimeout = milliseconds(400);
 static constexpr std::uint64_t EntriesPerLife = 64;
-/// How long an engine takes to start again.
+/// How long an engine takes to restart.
 static constexpr Duration DownTime = milliseconds(600);
-/// "A few seconds" after which a leaving endpoint must get no new work.
+/// How long after it was marked as leaving an endpoint may get new requests.
 static constexpr Duration LeavingGrace = seconds(5);
 
 RequestWorld::RequestWorld(std::uint64_t seed, FaultRates rates,
@@ -31,7 +32,7 @@
     service.Endpoints.push_back(
         {Agents[i].Id, ServiceId("pay"), DataCentreId("d"), "", {}, false});
   }
-  // The same endpoints, spoken to as models: they can resume.
+  // The same endpoints as a model service, whose responses can be resumed.
   ServiceView &model = Snapshot->Services[ServiceId("ask")];
   model = service;
   model.Kind = ServiceKind::Model;
@@ -106,7 +107,7 @@
   CallRecord &out = *record;
   entry.Open[request.Id] = record.get();
   Calls.push_back(std::move(record));
-  // A frozen entry takes the request when it wakes.
+  // A frozen entry receives the request when it resumes.
   TimePoint begin = std::max(Scheduler.now(), entry.FrozenUntil);
   out.Deadline = begin + request.Deadline;
   Scheduler.at(begin, [this, i, life = entry.Life, request] {
@@ -146,7 +147,7 @@
 void RequestWorld::freezeEntry(std::size_t i, Duration span) {
   Entry &entry = Entries[i];
   entry.FrozenUntil = std::max(entry.FrozenUntil, Scheduler.now() + span);
-  // Nobody is answered before the entry wakes.
+  // Callers get no response before the entry resumes.
   for (auto &[id, record] : entry.Open)
     record->Deadline = std::max(record->Deadline, entry.FrozenUntil);
 }
@@ -157,7 +158,8 @@
     agent.LeavingSince.reset();
   else if (!agent.LeavingSince)
     agent.LeavingSince = Scheduler.now();
-  // What the list says when the agent gets to read it.
+  // The agent sees the state of the host list at the time that it reads the
+  // list.
   toAgent(i, agent.Life, [this, i](AgentNode &node) {
     return node.setLeaving(Agents[i].LeavingSince.has_value(), Scheduler.now());
   });
@@ -205,7 +207,7 @@
   });
 }
 
-/// Calls the node's timer at \p due, or when it wakes.
+/// Runs the node's timer at \p due, or when a frozen node resumes.
 template <typename Machines>
 void RequestWorld::setTimer(Machines &machines, std::size_t i, TimePoint due) {
   std::uint64_t life = machines[i].Life;
@@ -240,7 +242,7 @@
 void RequestWorld::perform(std::size_t i, const SendToAgent &action) {
   std::size_t k = agentOf(action.To);
   LinkId link = linkOf(i, Entries[i].Life);
-  // The message reaches whichever incarnation lives when it arrives.
+  // The message reaches the agent's incarnation at the time of arrival.
   Scheduler.unreliably(Rates.Message, [this, k, link, body = action.Body] {
     toAgent(k, Agents[k].Life, [this, link, body](AgentNode &node) {
       return node.onMessage(link, body, Scheduler.now());
@@ -272,7 +274,8 @@
   lost.Code = ResultCode::PlatformTimeout;
   bool isOut = Scheduler.now() < OutageUntil;
   if (isOut || Scheduler.chance(Rates.Platform)) {
-    // Lost before or after its effect; the effect itself may come late.
+    // The request or its reply is lost; the request may still take effect, and
+    // late.
     if (Scheduler.chance(50))
       Scheduler.at(Scheduler.now() + Duration(Scheduler.below(4000000)),
                    [this, call = action.Request.Call] { callKv(call); });
@@ -327,7 +330,7 @@
     });
     return;
   }
-  // The request reaches the endpoint whether or not the agent lives on.
+  // The request reaches the endpoint even if the agent is killed.
   std::uint64_t from = action.ResumeFrom;
   std::uint64_t engine = Agents[i].Engine;
   Agents[i].Runs.insert(id);
--- a/unittests/Routing/RequestWorld.h
+++ b/unittests/Routing/RequestWorld.h
@@ -1,9 +1,9 @@
-//===- RequestWorld.h - entries, agents and faults in one process -*- C++
-//-*-===//
+//===- RequestWorld.h - a simulated deployment with faults ------*- C++ -*-===//
 //
 // Connects real EntryNodes and AgentNodes through a RandomScheduler that loses,
-// doubles and reorders messages, kills and freezes nodes and breaks the
-// platform, and records what callers were told and what endpoints ran.
+// duplicates and reorders messages. Kills and freezes nodes, makes the
+// key-value store fail, and records the results that callers received and the
+// runs at the endpoints.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,13 +24,13 @@
 
 namespace ospreyspur::test {
 
-/// One try of a caller.
+/// One call of a caller.
 struct CallRecord {
   std::string Name;
   TimePoint Began;
   TimePoint Deadline;
   std::optional<TimePoint> Ended;
-  /// Set if the entry that held the call was killed.
+  /// Whether the entry that held the call was killed.
   bool IsCut = false;
   ResultCode Code = ResultCode::Ok;
   std::string Body;
@@ -43,16 +43,16 @@
   TimePoint Began;
 };
 
-/// How often things go wrong, in percent.
+/// Probabilities of faults, in percent.
 struct FaultRates {
   unsigned Message = 5;
   unsigned Platform = 15;
   unsigned Endpoint = 5;
-  /// Events that come much later than the others.
+  /// Events that are delayed much longer than others.
   unsigned Late = 5;
 };
 
-/// A small deployment on virtual time.
+/// A small deployment with virtual time.
 class RequestWorld {
 public:
   RequestWorld(std::uint64_t seed, FaultRates rates, std::size_t entries,
@@ -61,13 +61,14 @@
                std::size_t ledgerRecords = 6);
 
   RandomScheduler Scheduler;
-  /// Stable addresses: records are added only.
+  /// Records are only ever added, so their addresses are stable.
   std::vector<std::unique_ptr<CallRecord>> Calls;
   std::vector<RunRecord> Runs;
-  /// Requests that began at an endpoint seconds after it was said to leave.
+  /// Runs that an agent started more than LeavingGrace after the host list
+  /// marked its endpoint as leaving.
   std::size_t LateStarts = 0;
 
-  /// A caller asks for \p name at \p entry; the record is in Calls.
+  /// Sends the request \p name to \p entry. Returns its record in Calls.
   CallRecord &ask(std::size_t entry, const std::string &name,
                   const std::function<void(CallerRequest &)> &change);
 
@@ -75,20 +76,20 @@
   void killAgent(std::size_t i);
   void freezeAgent(std::size_t i, Duration span);
   void freezeEntry(std::size_t i, Duration span);
-  /// The host list says whether the endpoint is leaving; its agent learns of it
-  /// when it can, entries only from the agent.
+  /// Marks the endpoint as leaving in the host list, or removes the mark. The
+  /// agent learns of the change after a delay, entries only from the agent.
   void setLeaving(std::size_t i, bool leaving);
   void cutLink(std::size_t entry, std::size_t agent);
-  /// From now on each engine that runs \p name ends.
+  /// From now on each engine that runs \p name crashes.
   void setDeadly(const std::string &name) { Deadly = name; }
-  /// The engine of endpoint \p i ends with all that it runs; it is back after
-  /// DownTime. Its agent lives on and finds out.
+  /// Crashes the engine of endpoint \p i with all its runs. The engine restarts
+  /// after DownTime; the agent keeps running and detects the crash.
   void endEngine(std::size_t i);
-  /// Engines that ended under the deadly request.
+  /// Number of engines that the deadly request crashed.
   unsigned deadlyEnds() const { return DeadlyEnds; }
   void setOutage(Duration span) { OutageUntil = Scheduler.now() + span; }
 
-  /// The whole answer to \p name.
+  /// Returns the complete response to \p name.
   static std::string expectedBody(const std::string &name);
 
 private:
@@ -105,7 +106,7 @@
     std::uint64_t Life = 0;
     TimePoint FrozenUntil;
     std::optional<TimePoint> LeavingSince;
-    /// The engine's life, what it runs, and until when it is down.
+    /// The engine's incarnation, its runs, and the end of its downtime.
     std::uint64_t Engine = 0;
     std::set<RequestId> Runs;
     TimePoint DownUntil;
