--- a/include/ospreyspur/Ledger/Ledger.h
+++ b/include/ospreyspur/Ledger/Ledger.h
@@ -17,9 +17,9 @@
 #ifndef OSPREYSPUR_LEDGER_LEDGER_H
 #define OSPREYSPUR_LEDGER_LEDGER_H
 
-#include "ospreyspur/Ledger/StoredAnswer.h"
+#include "ospreyspur/Ledger/StoredResponse.h"
 #include "ospreyspur/Ledger/Ticket.h"
-#include "ospreyspur/Ledger/TicketOffice.h"
+#include "ospreyspur/Ledger/TicketIssuer.h"
 
 #include <cstddef>
 #include <map>
@@ -37,7 +37,7 @@
   /// How long the record of a started request is kept after its end.
   Duration Retention = std::chrono::minutes(10);
   /// How long the response to a repeatable request is kept after its end.
-  Duration RepeatableAnswerRetention = std::chrono::seconds(30);
+  Duration RepeatableResponseRetention = std::chrono::seconds(30);
 };
 
 /// Decides, for each ticket, whether it may start a run.
@@ -54,19 +54,20 @@
   };
 
   /// A decision and, for Refuse, the reason.
-  struct Verdict {
-    Decision What = Decision::Refuse;
+  struct AdmissionResult {
+    Decision Action = Decision::Refuse;
     ResultCode Code = ResultCode::Ok;
   };
 
-  /// \p office must outlive the ledger.
-  Ledger(const TicketOffice &office, LedgerLimits limits);
+  /// \p tickets must outlive the ledger.
+  Ledger(const TicketIssuer &tickets, LedgerLimits limits);
 
   /// Decides on a dispatch of \p ticket; adds a record for Start.
-  Verdict admit(const Ticket &ticket, bool repeatable, TimePoint now);
+  AdmissionResult admit(const Ticket &ticket, bool repeatable, TimePoint now);
 
   /// Refuses \p ticket permanently, unless the ticket is already known.
-  Verdict refuseIfNew(const Ticket &ticket, ResultCode reason, TimePoint now);
+  AdmissionResult refuseIfNew(const Ticket &ticket, ResultCode reason,
+                              TimePoint now);
 
   /// Withdraws a ticket admitted by admit() whose run has not begun. The ticket
   /// can never start afterwards.
@@ -83,24 +84,24 @@
   void expire(TimePoint now);
 
   /// Returns the response of an admitted or finished request, or null.
-  StoredAnswer *findAnswer(RequestId id);
+  StoredResponse *findResponse(RequestId id);
 
   /// Number of records held.
   std::size_t size() const { return Records.size(); }
   /// Bytes of responses held.
-  std::size_t answerBytes() const { return AnswerBytes; }
+  std::size_t responseBytes() const { return ResponseBytes; }
 
 private:
   enum class State { Admitted, Finished, Void };
 
   struct Record {
-    State Now = State::Admitted;
+    State Status = State::Admitted;
     ResultCode Reason = ResultCode::Ok;
     bool Repeatable = false;
     TimePoint Expires;
     TimePoint KeepUntil;
-    TimePoint DropAnswerAt;
-    StoredAnswer Answer;
+    TimePoint DropResponseAt;
+    StoredResponse Response;
   };
 
   struct Expiry {
@@ -109,20 +110,20 @@
     friend auto operator<=>(const Expiry &, const Expiry &) = default;
   };
 
-  Verdict judgeUnknown(const Ticket &ticket, TimePoint now) const;
-  bool isFull() const;
+  AdmissionResult checkUnknownTicket(const Ticket &ticket, TimePoint now) const;
+  bool isAtCapacity() const;
   void addVoid(const Ticket &ticket, ResultCode reason);
   void schedule(TicketSequence sequence, TimePoint at);
-  void dropAnswer(Record &record);
+  void dropResponse(Record &record);
   Record *find(RequestId id);
 
-  const TicketOffice &Office;
+  const TicketIssuer &Tickets;
   LedgerLimits Limits;
   std::map<TicketSequence, Record> Records;
   /// Tickets up to this sequence number that have no record are void. Raised
   /// when the ledger has no capacity for the record of a single refusal.
   TicketSequence VoidThrough{0};
-  std::size_t AnswerBytes = 0;
+  std::size_t ResponseBytes = 0;
   std::priority_queue<Expiry, std::vector<Expiry>, std::greater<>> Expiries;
 };
 
--- a/include/ospreyspur/Ledger/StoredAnswer.h
+++ b/include/ospreyspur/Ledger/StoredResponse.h
@@ -1,12 +1,12 @@
-//===- StoredAnswer.h - a response stored by the agent ----------*- C++ -*-===//
+//===- StoredResponse.h - a response stored by the agent --------*- C++ -*-===//
 //
 // Holds an endpoint's response during the run and afterwards, so that an entry
 // that attaches late receives the complete response.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_LEDGER_STOREDANSWER_H
-#define OSPREYSPUR_LEDGER_STOREDANSWER_H
+#ifndef OSPREYSPUR_LEDGER_STOREDRESPONSE_H
+#define OSPREYSPUR_LEDGER_STOREDRESPONSE_H
 
 #include "ospreyspur/Support/Ids.h"
 #include "ospreyspur/Support/ResultCode.h"
@@ -17,7 +17,7 @@
 namespace ospreyspur {
 
 /// The response of one run.
-struct StoredAnswer {
+struct StoredResponse {
   bool HasHead = false;
   std::uint32_t Status = 0;
   std::string ContentType;
@@ -29,7 +29,7 @@
   bool Dropped = false;
   ResultCode Code = ResultCode::Ok;
   /// The endpoint's incarnation that ran the request.
-  EngineLife Life;
+  EngineLife EndpointIncarnation;
 
   /// The offset just after the last byte.
   std::uint64_t end() const { return BaseOffset + Body.size(); }
@@ -37,4 +37,4 @@
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_LEDGER_STOREDANSWER_H
+#endif // OSPREYSPUR_LEDGER_STOREDRESPONSE_H
--- a/include/ospreyspur/Ledger/TicketOffice.h
+++ b/include/ospreyspur/Ledger/TicketIssuer.h
@@ -1,4 +1,4 @@
-//===- TicketOffice.h - issues and verifies tickets -------------*- C++ -*-===//
+//===- TicketIssuer.h - issues and verifies tickets -------------*- C++ -*-===//
 //
 // Numbers tickets and signs them with a MAC key that exists only as long as the
 // agent's incarnation. Issued tickets are not stored: the MAC proves that a
@@ -6,18 +6,18 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_LEDGER_TICKETOFFICE_H
-#define OSPREYSPUR_LEDGER_TICKETOFFICE_H
+#ifndef OSPREYSPUR_LEDGER_TICKETISSUER_H
+#define OSPREYSPUR_LEDGER_TICKETISSUER_H
 
 #include "ospreyspur/Ledger/Ticket.h"
 
 namespace ospreyspur {
 
 /// Issues the tickets of one agent incarnation.
-class TicketOffice {
+class TicketIssuer {
 public:
   /// \p key, the MAC key, should hold at least 16 random bytes.
-  TicketOffice(EndpointId endpoint, Incarnation incarnation, std::string key);
+  TicketIssuer(EndpointId endpoint, Incarnation incarnation, std::string key);
 
   /// Issues a ticket for \p workspace that may start until \p now +
   /// \p validFor.
@@ -33,7 +33,7 @@
   Incarnation incarnation() const { return Self; }
 
 private:
-  std::string seal(const Ticket &ticket) const;
+  std::string computeMac(const Ticket &ticket) const;
 
   EndpointId Endpoint;
   Incarnation Self;
@@ -43,4 +43,4 @@
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_LEDGER_TICKETOFFICE_H
+#endif // OSPREYSPUR_LEDGER_TICKETISSUER_H
--- a/include/ospreyspur/Routing/AgentNode.h
+++ b/include/ospreyspur/Routing/AgentNode.h
@@ -13,7 +13,7 @@
 #define OSPREYSPUR_ROUTING_AGENTNODE_H
 
 #include "ospreyspur/Ledger/Ledger.h"
-#include "ospreyspur/Ledger/TicketOffice.h"
+#include "ospreyspur/Ledger/TicketIssuer.h"
 #include "ospreyspur/Pushback/ClosedEndpoints.h"
 #include "ospreyspur/Pushback/Pushback.h"
 #include "ospreyspur/Pushback/RateLimits.h"
@@ -61,8 +61,9 @@
   /// The endpoint's response began.
   AgentActions onRunHead(RequestId id, std::uint32_t status,
                          std::string contentType, TimePoint now);
-  /// The head of the response to \p id carried the pushback \p asked.
-  AgentActions onPushback(RequestId id, const Pushback &asked, TimePoint now);
+  /// The head of the response to \p id carried the pushback \p pushback.
+  AgentActions onPushback(RequestId id, const Pushback &pushback,
+                          TimePoint now);
   /// More of the endpoint's response arrived.
   AgentActions onRunData(RequestId id, std::string_view data, TimePoint now);
   /// The run ended: Ok (complete response), EndpointUnreachable (no byte of the
@@ -90,7 +91,7 @@
     return Closed.takeLeavingNotes();
   }
   /// Whether the endpoint itself announced that it is leaving.
-  bool saidLeaving() const { return Closed.isLeaving(currentLife()); }
+  bool saidLeaving() const { return Closed.isLeaving(currentIncarnation()); }
   /// Returns the log records of the backoffs that the endpoint requested since
   /// the last call.
   std::vector<RestNote> takeRestNotes() { return Closed.takeNotes(); }
@@ -106,10 +107,10 @@
   const ClosedEndpoints &closed() const { return Closed; }
   /// Whether the endpoint is leaving and every connected entry has confirmed
   /// this.
-  bool isLeavingSeen() const { return IsLeaving && Unaware.empty(); }
+  bool isLeavingSeen() const { return IsLeaving && UnconfirmedEntries.empty(); }
   std::size_t runningCount() const { return Running.size(); }
   std::size_t queuedCount() const { return Queue.size(); }
-  const Ledger &ledger() const { return Book; }
+  const Ledger &ledger() const { return RequestLedger; }
   /// The crash reports that this agent relays between entries.
   const CrashRelay &relay() const { return Relay; }
 
@@ -127,7 +128,7 @@
     std::optional<TimePoint> Started;
     std::vector<Subscriber> Subscribers;
     /// The endpoint's incarnation when the run started.
-    EngineLife Life;
+    EngineLife EndpointIncarnation;
   };
 
   void handle(LinkId from, const Probe &probe, TimePoint now);
@@ -138,41 +139,43 @@
   void handle(LinkId from, const CrashUpdate &update, TimePoint now);
   template <typename T> void handle(LinkId from, const T &other, TimePoint now);
 
-  ResultCode whyNotAccepting(Duration wait, Duration timeLeft) const;
+  ResultCode findRefusalReason(Duration wait, Duration timeLeft) const;
   void updateLeaving(TimePoint now);
-  void noticeTime(TimePoint now);
+  void detectPause(TimePoint now);
   Duration estimateWait(const WorkspaceId &workspace,
                         std::uint32_t priority) const;
-  LifeDigest currentLife() const { return LifeDigest(Life.get()); }
-  Duration rateWait() const;
-  Duration restLeft() const;
+  LifeDigest currentIncarnation() const {
+    return LifeDigest(EndpointIncarnation.get());
+  }
+  Duration rateLimitWait() const;
+  Duration remainingBackoff() const;
   std::uint32_t weightOf(const WorkspaceId &workspace) const;
-  Duration spreadRetryAfter();
+  Duration computeRetryAfter();
   Duration draw(Duration least, Duration most);
-  void meetEntry(LinkId link);
+  void registerEntry(LinkId link);
   void enqueue(LinkId from, const Dispatch &dispatch, TimePoint now);
   void attach(LinkId from, const Dispatch &dispatch, TimePoint now);
   void sendStored(LinkId from, const Dispatch &dispatch,
-                  const StoredAnswer &answer);
+                  const StoredResponse &response);
   void refuse(LinkId from, RequestId id, AttemptNumber attempt,
               ResultCode code);
-  void startWaiting(TimePoint now);
+  void startQueued(TimePoint now);
   void withdrawQueued(RequestId id, ResultCode reason, TimePoint now);
   void endRun(RequestId id, ResultCode code, TimePoint now);
-  ResultCode noteEngineEnd(EngineLife life, TimePoint now);
-  void stopIfUnwanted(RequestId id, TimePoint now);
+  ResultCode recordEngineExit(EngineLife incarnation, TimePoint now);
+  void stopIfUnsubscribed(RequestId id, TimePoint now);
   void send(LinkId to, Message message);
   AgentActions takeActions();
 
   EndpointId Self;
   AgentLimits Limits;
-  TicketOffice Office;
-  Ledger Book;
+  TicketIssuer Tickets;
+  Ledger RequestLedger;
   FairQueue Queue;
   DrainEstimator Drain;
   std::shared_ptr<const WorkspaceWeights> Weights;
   std::mt19937_64 Random;
-  bool HasGate = false;
+  bool IsLeavingKnown = false;
   bool IsLeaving = false;
   /// Whether the host list marks the endpoint as leaving.
   bool IsListedLeaving = false;
@@ -180,13 +183,13 @@
   /// not included.
   std::set<LinkId> Entries;
   /// Entries that have not yet confirmed that this endpoint is leaving.
-  std::set<LinkId> Unaware;
+  std::set<LinkId> UnconfirmedEntries;
   std::map<RequestId, Job> Jobs;
   std::set<RequestId> Running;
   std::set<std::pair<TimePoint, RequestId>> Deadlines;
   std::optional<TimePoint> NextExpiry;
   /// Lives of the endpoint that have ended under a run.
-  EngineLife Life;
+  EngineLife EndpointIncarnation;
   /// Nothing is admitted before this time, as the endpoint was found down.
   TimePoint DownUntil;
   /// The rate limit that the endpoint advertises. All its requests pass through
--- a/include/ospreyspur/Routing/Call.h
+++ b/include/ospreyspur/Routing/Call.h
@@ -47,7 +47,7 @@
   /// Failed tries within the current stage.
   unsigned Tries = 0;
   /// Whether endpoints that recently did not reply are probed as well.
-  bool IgnoresSilence = false;
+  bool ProbesUnresponsive = false;
 
   std::vector<ProbeOffer> Offers;
   std::size_t ProbesOut = 0;
@@ -60,7 +60,7 @@
   std::optional<Ticket> Permit;
   AttemptNumber Attempt{0};
   unsigned Dispatches = 0;
-  Reassembler Answer;
+  Reassembler Response;
   bool HasHead = false;
   /// In-order bytes held back until the response's head has arrived.
   std::string Unsent;
@@ -78,7 +78,7 @@
   /// When the claim on the idempotency key was first requested.
   std::optional<TimePoint> ClaimReadAt;
   /// The revision of the claim as last read; 0 if there is none.
-  Revision ClaimAt;
+  Revision ClaimRevision;
   KvCallId PendingKv;
 };
 
--- a/include/ospreyspur/Routing/EntryNode.h
+++ b/include/ospreyspur/Routing/EntryNode.h
@@ -57,7 +57,7 @@
   /// must not exceed the agents' ledger retention.
   Duration ClaimLease = std::chrono::minutes(10);
   /// How long an endpoint that did not reply is excluded from probing.
-  Duration SuspectTime = std::chrono::seconds(1);
+  Duration UnresponsiveTime = std::chrono::seconds(1);
   double RetryRatio = 0.2;
   double RetryReserve = 10.0;
   /// How long a suspect request may be deferred.
@@ -136,12 +136,12 @@
   void dispatch(Call &call, TimePoint now);
   void sendDispatch(Call &call, TimePoint now);
   void startResolving(Call &call, TimePoint now);
-  void moveElsewhere(Call &call, ResultCode reason, TimePoint now);
+  void retryElsewhere(Call &call, ResultCode reason, TimePoint now);
   void loseContact(Call &call, TimePoint now);
   void onRunFailed(Call &call, const Finish &msg, TimePoint now);
   void noteCrash(const Call &call, const Finish &msg, TimePoint now);
   void judgeCrashes(TimePoint now);
-  void quarantine(RequestDigest request, bool isTold, TimePoint now);
+  void quarantine(RequestDigest request, bool isFromPeer, TimePoint now);
   void endQuarantined(RequestDigest request);
   bool isSuspect(const Call &call) const;
   bool isQuarantined(const Call &call) const;
@@ -154,7 +154,7 @@
   void sendReports(TimePoint now);
   void onStageTimer(Call &call, TimePoint now);
   void onDeadline(Call &call);
-  void passOn(Call &call, TimePoint now);
+  void forwardResponse(Call &call, TimePoint now);
 
   template <typename T>
   void handle(const EndpointId &from, const T &other, TimePoint now);
@@ -172,10 +172,10 @@
   Call *findByRequest(RequestId id);
   const ServiceView *findService(const Call &call) const;
   bool mayRunElsewhere(const Call &call) const;
-  void touch(Call &call, Duration wait, TimePoint now);
+  void setStageTimer(Call &call, Duration wait, TimePoint now);
   void bind(Call &call, const Ticket &ticket);
   void unbind(Call &call);
-  void finishWhole(Call &call, TimePoint now);
+  void finishComplete(Call &call, TimePoint now);
   void finishWith(Call &call, ResultCode code);
   void erase(Call &call);
   void callPlatform(Call &call, KvCall body);
@@ -197,7 +197,7 @@
   std::multimap<RequestId, CallId> CallsByRequest;
   std::unordered_map<KvCallId, CallId> CallsByKv;
   std::set<std::pair<TimePoint, CallId>> Timers;
-  std::unordered_map<EndpointId, TimePoint> SuspectUntil;
+  std::unordered_map<EndpointId, TimePoint> UnresponsiveUntil;
   std::set<EndpointId> KnownLeaving;
   std::string DigestKey;
   /// The random name that identifies this entry to other entries.
--- a/lib/Ledger/Ledger.cpp
+++ b/lib/Ledger/Ledger.cpp
@@ -11,51 +11,51 @@
 
 using namespace ospreyspur;
 
-Ledger::Ledger(const TicketOffice &office, LedgerLimits limits)
-    : Office(office), Limits(limits) {}
+Ledger::Ledger(const TicketIssuer &tickets, LedgerLimits limits)
+    : Tickets(tickets), Limits(limits) {}
 
-Ledger::Verdict Ledger::admit(const Ticket &ticket, bool repeatable,
-                              TimePoint now) {
+Ledger::AdmissionResult Ledger::admit(const Ticket &ticket, bool repeatable,
+                                      TimePoint now) {
   if (const Record *it = find(ticket.Id)) {
-    if (it->Now == State::Void)
+    if (it->Status == State::Void)
       return {Decision::Refuse, it->Reason};
     return {Decision::Attach, ResultCode::Ok};
   }
-  Verdict verdict = judgeUnknown(ticket, now);
-  if (verdict.What != Decision::Start)
-    return verdict;
-  if (isFull()) {
+  AdmissionResult admission = checkUnknownTicket(ticket, now);
+  if (admission.Action != Decision::Start)
+    return admission;
+  if (isAtCapacity()) {
     // This refusal must be permanent, but the full ledger cannot record it:
     // void every issued ticket that has no record.
-    VoidThrough = Office.lastIssued();
+    VoidThrough = Tickets.lastIssued();
     return {Decision::Refuse, ResultCode::LedgerFull};
   }
   Record record;
   record.Repeatable = repeatable;
   record.Expires = ticket.Expires;
   Records.emplace(ticket.Id.Sequence, std::move(record));
-  return verdict;
+  return admission;
 }
 
-Ledger::Verdict Ledger::refuseIfNew(const Ticket &ticket, ResultCode reason,
-                                    TimePoint now) {
+Ledger::AdmissionResult Ledger::refuseIfNew(const Ticket &ticket,
+                                            ResultCode reason, TimePoint now) {
   if (const Record *it = find(ticket.Id)) {
-    if (it->Now == State::Void)
+    if (it->Status == State::Void)
       return {Decision::Refuse, it->Reason};
     return {Decision::Attach, ResultCode::Ok};
   }
-  Verdict verdict = judgeUnknown(ticket, now);
-  if (verdict.What != Decision::Start)
-    return verdict;
+  AdmissionResult admission = checkUnknownTicket(ticket, now);
+  if (admission.Action != Decision::Start)
+    return admission;
   addVoid(ticket, reason);
   return {Decision::Refuse, reason};
 }
 
-Ledger::Verdict Ledger::judgeUnknown(const Ticket &ticket,
-                                     TimePoint now) const {
-  if (ticket.Id.Issuer != Office.incarnation())
+Ledger::AdmissionResult Ledger::checkUnknownTicket(const Ticket &ticket,
+                                                   TimePoint now) const {
+  if (ticket.Id.Issuer != Tickets.incarnation())
     return {Decision::Refuse, ResultCode::IncarnationGone};
-  if (!Office.isGenuine(ticket))
+  if (!Tickets.isGenuine(ticket))
     return {Decision::Refuse, ResultCode::BadTicket};
   if (now > ticket.Expires + Limits.Retention)
     return {Decision::Refuse, ResultCode::AnswerForgotten};
@@ -66,18 +66,18 @@
   return {Decision::Start, ResultCode::Ok};
 }
 
-bool Ledger::isFull() const {
+bool Ledger::isAtCapacity() const {
   return Records.size() >= Limits.MaxRecords ||
-         AnswerBytes >= Limits.MaxAnswerBytes;
+         ResponseBytes >= Limits.MaxAnswerBytes;
 }
 
 void Ledger::addVoid(const Ticket &ticket, ResultCode reason) {
   if (Records.size() >= Limits.MaxRecords) {
-    VoidThrough = Office.lastIssued();
+    VoidThrough = Tickets.lastIssued();
     return;
   }
   Record record;
-  record.Now = State::Void;
+  record.Status = State::Void;
   record.Reason = reason;
   record.Expires = ticket.Expires;
   record.KeepUntil = ticket.Expires;
@@ -87,9 +87,9 @@
 
 void Ledger::withdraw(RequestId id, ResultCode reason, TimePoint now) {
   Record *it = find(id);
-  assert(it && it->Now == State::Admitted &&
+  assert(it && it->Status == State::Admitted &&
          "only an admitted run can be withdrawn");
-  it->Now = State::Void;
+  it->Status = State::Void;
   it->Reason = reason;
   it->KeepUntil = std::max(now, it->Expires);
   schedule(id.Sequence, it->KeepUntil);
@@ -97,26 +97,27 @@
 
 ResultCode Ledger::append(RequestId id, std::string_view data) {
   Record *it = find(id);
-  assert(it && it->Now == State::Admitted && "only a running request has data");
-  if (AnswerBytes + data.size() > Limits.MaxAnswerBytes)
+  assert(it && it->Status == State::Admitted &&
+         "only a running request has data");
+  if (ResponseBytes + data.size() > Limits.MaxAnswerBytes)
     return ResultCode::AnswerTooLarge;
-  it->Answer.Body.append(data);
-  AnswerBytes += data.size();
+  it->Response.Body.append(data);
+  ResponseBytes += data.size();
   return ResultCode::Ok;
 }
 
 void Ledger::finish(RequestId id, ResultCode code, TimePoint now) {
   Record *it = find(id);
-  assert(it && it->Now == State::Admitted && "only a running request ends");
-  it->Now = State::Finished;
-  it->Answer.Finished = true;
-  it->Answer.Code = code;
+  assert(it && it->Status == State::Admitted && "only a running request ends");
+  it->Status = State::Finished;
+  it->Response.Finished = true;
+  it->Response.Code = code;
   TimePoint last = std::max(now, it->Expires);
   it->KeepUntil = last + Limits.Retention;
-  it->DropAnswerAt = it->KeepUntil;
+  it->DropResponseAt = it->KeepUntil;
   if (it->Repeatable)
-    it->DropAnswerAt = now + Limits.RepeatableAnswerRetention;
-  schedule(id.Sequence, it->DropAnswerAt);
+    it->DropResponseAt = now + Limits.RepeatableResponseRetention;
+  schedule(id.Sequence, it->DropResponseAt);
 }
 
 void Ledger::expire(TimePoint now) {
@@ -127,8 +128,8 @@
     if (it == Records.end())
       continue;
     Record &record = it->second;
-    if (record.Now == State::Finished)
-      dropAnswer(record);
+    if (record.Status == State::Finished)
+      dropResponse(record);
     if (record.KeepUntil < now)
       Records.erase(it);
     else
@@ -136,25 +137,25 @@
   }
 }
 
-StoredAnswer *Ledger::findAnswer(RequestId id) {
+StoredResponse *Ledger::findResponse(RequestId id) {
   Record *it = find(id);
-  if (!it || it->Now == State::Void)
+  if (!it || it->Status == State::Void)
     return nullptr;
-  return &it->Answer;
+  return &it->Response;
 }
 
 void Ledger::schedule(TicketSequence sequence, TimePoint at) {
   Expiries.push({at, sequence});
 }
 
-void Ledger::dropAnswer(Record &record) {
-  AnswerBytes -= record.Answer.Body.size();
-  record.Answer.Dropped = true;
-  record.Answer.Body = std::string();
+void Ledger::dropResponse(Record &record) {
+  ResponseBytes -= record.Response.Body.size();
+  record.Response.Dropped = true;
+  record.Response.Body = std::string();
 }
 
 Ledger::Record *Ledger::find(RequestId id) {
-  if (id.Issuer != Office.incarnation())
+  if (id.Issuer != Tickets.incarnation())
     return nullptr;
   auto it = Records.find(id.Sequence);
   return it == Records.end() ? nullptr : &it->second;
--- a/lib/Ledger/TicketOffice.cpp
+++ b/lib/Ledger/TicketIssuer.cpp
@@ -1,10 +1,10 @@
-//===- TicketOffice.cpp - issues and verifies tickets ---------------------===//
+//===- TicketIssuer.cpp - issues and verifies tickets ---------------------===//
 //
 // The MAC is HMAC-SHA256 over the ticket's other fields, truncated to 16 bytes.
 //
 //===----------------------------------------------------------------------===//
 
-#include "ospreyspur/Ledger/TicketOffice.h"
+#include "ospreyspur/Ledger/TicketIssuer.h"
 
 #include <openssl/crypto.h>
 #include <openssl/evp.h>
@@ -16,32 +16,32 @@
 
 static constexpr std::size_t MacBytes = 16;
 
-TicketOffice::TicketOffice(EndpointId endpoint, Incarnation incarnation,
+TicketIssuer::TicketIssuer(EndpointId endpoint, Incarnation incarnation,
                            std::string key)
     : Endpoint(std::move(endpoint)), Self(incarnation), Key(std::move(key)) {
   assert(!Key.empty() && "issuing tickets requires a MAC key");
 }
 
-Ticket TicketOffice::issue(const WorkspaceId &workspace, Duration validFor,
+Ticket TicketIssuer::issue(const WorkspaceId &workspace, Duration validFor,
                            TimePoint now) {
   Last = TicketSequence(Last.get() + 1);
   Ticket ticket{Endpoint, {Self, Last}, now + validFor, workspace, {}};
-  ticket.Mac = seal(ticket);
+  ticket.Mac = computeMac(ticket);
   return ticket;
 }
 
-bool TicketOffice::isGenuine(const Ticket &ticket) const {
-  std::string expected = seal(ticket);
+bool TicketIssuer::isGenuine(const Ticket &ticket) const {
+  std::string expected = computeMac(ticket);
   if (ticket.Mac.size() != expected.size())
     return false;
   return CRYPTO_memcmp(ticket.Mac.data(), expected.data(), expected.size()) ==
          0;
 }
 
-std::string TicketOffice::seal(const Ticket &ticket) const {
-  Ticket unsealed = ticket;
-  unsealed.Mac.clear();
-  std::string text = formatTicket(unsealed);
+std::string TicketIssuer::computeMac(const Ticket &ticket) const {
+  Ticket withoutMac = ticket;
+  withoutMac.Mac.clear();
+  std::string text = formatTicket(withoutMac);
   unsigned char digest[EVP_MAX_MD_SIZE];
   unsigned n = 0;
   const auto *data = reinterpret_cast<const unsigned char *>(text.data());
--- a/lib/Routing/AgentNode.cpp
+++ b/lib/Routing/AgentNode.cpp
@@ -25,13 +25,13 @@
 AgentNode::AgentNode(EndpointId self, Incarnation incarnation, std::string key,
                      AgentLimits limits, std::uint64_t seed)
     : Self(std::move(self)), Limits(limits),
-      Office(Self, incarnation, std::move(key)), Book(Office, limits.Ledger),
-      Drain(InitialHold), Weights(std::make_shared<WorkspaceWeights>()),
-      Random(seed) {}
+      Tickets(Self, incarnation, std::move(key)),
+      RequestLedger(Tickets, limits.Ledger), Drain(InitialHold),
+      Weights(std::make_shared<WorkspaceWeights>()), Random(seed) {}
 
 AgentActions AgentNode::onMessage(LinkId from, const Message &message,
                                   TimePoint now) {
-  noticeTime(now);
+  detectPause(now);
   std::visit([&](const auto &it) { handle(from, it, now); }, message);
   return takeActions();
 }
@@ -39,7 +39,7 @@
 /// Updates the time of the latest input. If this process was paused, refuses
 /// all queued requests: the endpoint may have left long ago, and the callers
 /// have waited too long already.
-void AgentNode::noticeTime(TimePoint now) {
+void AgentNode::detectPause(TimePoint now) {
   bool wasPaused = now - LastInput > PauseLimit;
   LastInput = now;
   if (!wasPaused)
@@ -56,16 +56,16 @@
 
 /// Registers the link of an entry. A leaving agent sends Leaving on a new link
 /// before any other message.
-void AgentNode::meetEntry(LinkId link) {
+void AgentNode::registerEntry(LinkId link) {
   if (!Entries.insert(link).second || !IsLeaving)
     return;
-  Unaware.insert(link);
+  UnconfirmedEntries.insert(link);
   send(link, Leaving{true});
 }
 
 void AgentNode::handle(LinkId from, const LeavingSeen & /*seen*/,
                        TimePoint /*now*/) {
-  Unaware.erase(from);
+  UnconfirmedEntries.erase(from);
 }
 
 void AgentNode::handle(LinkId from, const CrashUpdate &update, TimePoint now) {
@@ -74,49 +74,50 @@
 }
 
 void AgentNode::handle(LinkId from, const Probe &probe, TimePoint now) {
-  meetEntry(from);
+  registerEntry(from);
   ProbeReply reply;
   reply.Call = probe.Call;
   reply.Wait = estimateWait(probe.Workspace, probe.Priority);
   reply.Load = static_cast<std::uint32_t>(Queue.size() + Running.size());
-  reply.Code = whyNotAccepting(reply.Wait, probe.Deadline);
+  reply.Code = findRefusalReason(reply.Wait, probe.Deadline);
   if (reply.Code == ResultCode::Ok)
-    reply.Permit = Office.issue(
+    reply.Permit = Tickets.issue(
         probe.Workspace, std::min(probe.ValidFor, MaxTicketValidity), now);
   else
-    reply.RetryAfter = spreadRetryAfter();
+    reply.RetryAfter = computeRetryAfter();
   send(from, reply);
 }
 
 void AgentNode::handle(LinkId from, const Dispatch &dispatch, TimePoint now) {
-  meetEntry(from);
+  registerEntry(from);
   const Ticket &ticket = dispatch.Permit;
   Duration wait = estimateWait(ticket.Workspace, dispatch.Priority);
-  ResultCode reason = whyNotAccepting(wait, dispatch.Deadline);
-  Ledger::Verdict verdict = reason == ResultCode::Ok
-                                ? Book.admit(ticket, dispatch.Repeatable, now)
-                                : Book.refuseIfNew(ticket, reason, now);
-  switch (verdict.What) {
+  ResultCode reason = findRefusalReason(wait, dispatch.Deadline);
+  Ledger::AdmissionResult admission =
+      reason == ResultCode::Ok
+          ? RequestLedger.admit(ticket, dispatch.Repeatable, now)
+          : RequestLedger.refuseIfNew(ticket, reason, now);
+  switch (admission.Action) {
   case Ledger::Decision::Start:
     enqueue(from, dispatch, now);
-    startWaiting(now);
+    startQueued(now);
     return;
   case Ledger::Decision::Attach:
     attach(from, dispatch, now);
     return;
   case Ledger::Decision::Refuse:
-    refuse(from, ticket.Id, dispatch.Attempt, verdict.Code);
+    refuse(from, ticket.Id, dispatch.Attempt, admission.Code);
     return;
   }
 }
 
 void AgentNode::handle(LinkId from, const Resolve &resolve, TimePoint now) {
   const Ticket &ticket = resolve.Permit;
-  Ledger::Verdict verdict =
-      Book.refuseIfNew(ticket, ResultCode::TicketVoid, now);
+  Ledger::AdmissionResult admission =
+      RequestLedger.refuseIfNew(ticket, ResultCode::TicketVoid, now);
   ResolveReply reply{ticket.Id, RunState::Known};
-  if (verdict.What == Ledger::Decision::Refuse) {
-    bool isSure = describe(verdict.Code).Kind == Outcome::NotRun;
+  if (admission.Action == Ledger::Decision::Refuse) {
+    bool isSure = describe(admission.Code).Kind == Outcome::NotRun;
     reply.State = isSure ? RunState::NeverStarts : RunState::CannotTell;
   }
   send(from, reply);
@@ -129,27 +130,28 @@
   std::erase_if(it->second.Subscribers, [&](const Subscriber &sub) {
     return sub.Link == from && sub.Attempt == cancel.Attempt;
   });
-  stopIfUnwanted(cancel.Id, now);
-  startWaiting(now);
+  stopIfUnsubscribed(cancel.Id, now);
+  startQueued(now);
 }
 
-ResultCode AgentNode::whyNotAccepting(Duration wait, Duration timeLeft) const {
-  if (!HasGate)
+ResultCode AgentNode::findRefusalReason(Duration wait,
+                                        Duration timeLeft) const {
+  if (!IsLeavingKnown)
     return ResultCode::EndpointStarting;
   if (IsLeaving)
     return ResultCode::EndpointLeaving;
   if (LastInput < DownUntil)
     return ResultCode::EndpointUnreachable;
-  if (restLeft() > Limits.MaxWait)
+  if (remainingBackoff() > Limits.MaxWait)
     return ResultCode::EndpointsResting;
-  if (rateWait() > Limits.MaxWait)
+  if (rateLimitWait() > Limits.MaxWait)
     return ResultCode::RateLimited;
   if (Queue.size() >= Limits.MaxQueue || wait > Limits.MaxWait)
     return ResultCode::QueueFull;
   // A response that would be truncated at its deadline only uses up capacity
   // that other requests need.
-  bool isHopeless = wait + Drain.meanHold() > timeLeft;
-  if (wait > Duration::zero() && timeLeft > Duration::zero() && isHopeless)
+  bool isUnservable = wait + Drain.meanHold() > timeLeft;
+  if (wait > Duration::zero() && timeLeft > Duration::zero() && isUnservable)
     return ResultCode::QueueFull;
   return ResultCode::Ok;
 }
@@ -164,17 +166,17 @@
   std::size_t ahead =
       Queue.countAhead(workspace, weightOf(workspace), priority);
   Duration drained = Drain.estimateWait(ahead, Running.size(), Limits.Slots);
-  return std::max({drained, rateWait(), restLeft()});
+  return std::max({drained, rateLimitWait(), remainingBackoff()});
 }
 
-Duration AgentNode::spreadRetryAfter() {
+Duration AgentNode::computeRetryAfter() {
   // Jitter between 0.5 and 1.5 times the drain time, so that callers refused at
   // the same time do not retry at the same time.
   Duration toDrain =
       Drain.estimateWait(Queue.size(), Running.size(), Limits.Slots);
-  Duration base = std::max({toDrain, rateWait(), MinRetryAfter});
-  if (Duration rest = restLeft(); rest > Duration::zero())
-    return rest + draw(Duration::zero(), std::max(base, rest / 4));
+  Duration base = std::max({toDrain, rateLimitWait(), MinRetryAfter});
+  if (Duration backoff = remainingBackoff(); backoff > Duration::zero())
+    return backoff + draw(Duration::zero(), std::max(base, backoff / 4));
   return draw(base / 2, base * 3 / 2);
 }
 
@@ -186,9 +188,9 @@
 
 void AgentNode::enqueue(LinkId from, const Dispatch &dispatch, TimePoint now) {
   RequestId id = dispatch.Permit.Id;
-  StoredAnswer *answer = Book.findAnswer(id);
-  assert(answer && "an admitted request has a record");
-  answer->BaseOffset = dispatch.ResumeFrom;
+  StoredResponse *response = RequestLedger.findResponse(id);
+  assert(response && "an admitted request has a record");
+  response->BaseOffset = dispatch.ResumeFrom;
 
   QueuedRequest request;
   request.Id = id;
@@ -208,31 +210,31 @@
 
 void AgentNode::refuse(LinkId from, RequestId id, AttemptNumber attempt,
                        ResultCode code) {
-  send(from, Refused{id, attempt, code, spreadRetryAfter()});
+  send(from, Refused{id, attempt, code, computeRetryAfter()});
 }
 
 AgentActions AgentNode::onLinkDown(LinkId link, TimePoint now) {
-  noticeTime(now);
+  detectPause(now);
   Entries.erase(link);
-  Unaware.erase(link);
+  UnconfirmedEntries.erase(link);
   Relay.onLinkDown(link);
-  std::vector<RequestId> touched;
+  std::vector<RequestId> affected;
   for (auto &[id, job] : Jobs) {
     auto n = std::erase_if(job.Subscribers, [link](const Subscriber &sub) {
       return sub.Link == link;
     });
     if (n > 0)
-      touched.push_back(id);
+      affected.push_back(id);
   }
-  for (RequestId id : touched)
+  for (RequestId id : affected)
     if (Jobs.contains(id))
-      stopIfUnwanted(id, now);
+      stopIfUnsubscribed(id, now);
   return takeActions();
 }
 
 AgentActions AgentNode::setLeaving(bool leaving, TimePoint now) {
-  noticeTime(now);
-  HasGate = true;
+  detectPause(now);
+  IsLeavingKnown = true;
   IsListedLeaving = leaving;
   updateLeaving(now);
   return takeActions();
@@ -243,7 +245,7 @@
   if (leaving == IsLeaving)
     return;
   IsLeaving = leaving;
-  Unaware = leaving ? Entries : std::set<LinkId>();
+  UnconfirmedEntries = leaving ? Entries : std::set<LinkId>();
   for (LinkId it : Entries)
     send(it, Leaving{leaving});
   if (!leaving)
@@ -260,7 +262,7 @@
 }
 
 AgentActions AgentNode::onTimer(TimePoint now) {
-  noticeTime(now);
+  detectPause(now);
   while (!Deadlines.empty() && Deadlines.begin()->first <= now) {
     RequestId id = Deadlines.begin()->second;
     Deadlines.erase(Deadlines.begin());
@@ -270,14 +272,14 @@
       withdrawQueued(id, ResultCode::DeadlineBeforeStart, now);
     } else {
       job.Subscribers.clear();
-      stopIfUnwanted(id, now);
+      stopIfUnsubscribed(id, now);
     }
   }
   if (!NextExpiry || *NextExpiry <= now) {
-    Book.expire(now);
+    RequestLedger.expire(now);
     NextExpiry = now + ExpiryInterval;
   }
-  startWaiting(now);
+  startQueued(now);
   return takeActions();
 }
 
--- a/lib/Routing/AgentPushback.cpp
+++ b/lib/Routing/AgentPushback.cpp
@@ -12,46 +12,48 @@
 
 using namespace ospreyspur;
 
-AgentActions AgentNode::onPushback(RequestId id, const Pushback &asked,
+AgentActions AgentNode::onPushback(RequestId id, const Pushback &pushback,
                                    TimePoint now) {
-  noticeTime(now);
+  detectPause(now);
   auto it = Jobs.find(id);
   if (it == Jobs.end() || !it->second.Started)
     return takeActions();
-  LifeDigest life(it->second.Life.get());
-  if (asked.RequestsPerSecond || asked.Malformed.empty())
-    Rates.onAnswer(life, asked.RequestsPerSecond, *it->second.Started, now);
-  if (asked.Rest)
-    Closed.onRest(life, *asked.Rest, now);
-  if (asked.IsLeaving)
-    Closed.onLeaving(life, false, now);
+  LifeDigest incarnation(it->second.EndpointIncarnation.get());
+  if (pushback.RequestsPerSecond || pushback.Malformed.empty())
+    Rates.onAnswer(incarnation, pushback.RequestsPerSecond, *it->second.Started,
+                   now);
+  if (pushback.Rest)
+    Closed.onRest(incarnation, *pushback.Rest, now);
+  if (pushback.IsLeaving)
+    Closed.onLeaving(incarnation, false, now);
   updateLeaving(now);
-  if (restLeft() > Limits.MaxWait)
+  if (remainingBackoff() > Limits.MaxWait)
     for (const QueuedRequest &queued : Queue.drain())
       withdrawQueued(queued.Id, ResultCode::EndpointsResting, now);
-  startWaiting(now);
+  startQueued(now);
   return takeActions();
 }
 
 AgentActions AgentNode::onEndpointEnded(TimePoint now) {
-  noticeTime(now);
-  Life = EngineLife(Life.get() + 1);
+  detectPause(now);
+  EndpointIncarnation = EngineLife(EndpointIncarnation.get() + 1);
   updateLeaving(now);
-  startWaiting(now);
+  startQueued(now);
   return takeActions();
 }
 
-Duration AgentNode::restLeft() const {
-  TimePoint end = Closed.restUntil(currentLife());
+Duration AgentNode::remainingBackoff() const {
+  TimePoint end = Closed.restUntil(currentIncarnation());
   return std::max(end - LastInput, Duration::zero());
 }
 
 /// Returns how long a new request would wait under the advertised rate limit.
-Duration AgentNode::rateWait() const {
-  LifeDigest life = currentLife();
-  if (!Rates.isLimited(life))
+Duration AgentNode::rateLimitWait() const {
+  LifeDigest incarnation = currentIncarnation();
+  if (!Rates.isLimited(incarnation))
     return Duration::zero();
-  double rate = std::max(Rates.namedRate(life), RateLimits::MinPerSecond);
+  double rate =
+      std::max(Rates.namedRate(incarnation), RateLimits::MinPerSecond);
   auto ahead = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(double(Queue.size()) / rate));
   std::optional<TimePoint> next = Rates.nextRoom(LastInput);
--- a/lib/Routing/AgentRuns.cpp
+++ b/lib/Routing/AgentRuns.cpp
@@ -20,15 +20,16 @@
 
 void AgentNode::attach(LinkId from, const Dispatch &dispatch, TimePoint now) {
   RequestId id = dispatch.Permit.Id;
-  const StoredAnswer *answer = Book.findAnswer(id);
-  assert(answer && "a known request has a response");
-  bool isMissing = answer->Dropped || dispatch.ResumeFrom < answer->BaseOffset;
+  const StoredResponse *response = RequestLedger.findResponse(id);
+  assert(response && "a known request has a response");
+  bool isMissing =
+      response->Dropped || dispatch.ResumeFrom < response->BaseOffset;
   if (isMissing) {
     refuse(from, id, dispatch.Attempt, ResultCode::AnswerForgotten);
     return;
   }
   send(from, Accepted{id, dispatch.Attempt});
-  sendStored(from, dispatch, *answer);
+  sendStored(from, dispatch, *response);
   auto it = Jobs.find(id);
   if (it == Jobs.end())
     return;
@@ -44,28 +45,29 @@
 }
 
 void AgentNode::sendStored(LinkId from, const Dispatch &dispatch,
-                           const StoredAnswer &answer) {
+                           const StoredResponse &response) {
   RequestId id = dispatch.Permit.Id;
   AttemptNumber attempt = dispatch.Attempt;
-  if (answer.HasHead)
-    send(from, Head{id, attempt, answer.Status, answer.ContentType});
-  if (dispatch.ResumeFrom < answer.end()) {
-    std::size_t skip = dispatch.ResumeFrom - answer.BaseOffset;
+  if (response.HasHead)
+    send(from, Head{id, attempt, response.Status, response.ContentType});
+  if (dispatch.ResumeFrom < response.end()) {
+    std::size_t skip = dispatch.ResumeFrom - response.BaseOffset;
     send(from,
-         Chunk{id, attempt, dispatch.ResumeFrom, answer.Body.substr(skip)});
+         Chunk{id, attempt, dispatch.ResumeFrom, response.Body.substr(skip)});
   }
-  if (answer.Finished)
-    send(from, Finish{id, attempt, answer.end(), answer.Code, answer.Life});
+  if (response.Finished)
+    send(from, Finish{id, attempt, response.end(), response.Code,
+                      response.EndpointIncarnation});
 }
 
-void AgentNode::startWaiting(TimePoint now) {
+void AgentNode::startQueued(TimePoint now) {
   while (Running.size() < Limits.Slots && Queue.size() > 0 &&
-         !Closed.isResting(currentLife(), now) &&
-         Rates.take(currentLife(), now)) {
+         !Closed.isResting(currentIncarnation(), now) &&
+         Rates.take(currentIncarnation(), now)) {
     std::optional<QueuedRequest> next = Queue.pop();
     Job &job = Jobs.at(next->Id);
     job.Started = now;
-    job.Life = Life;
+    job.EndpointIncarnation = EndpointIncarnation;
     Running.insert(next->Id);
     Dispatch &order = job.Order;
     Out.push_back(StartRun{next->Id, order.Method, order.Target,
@@ -76,28 +78,28 @@
 
 AgentActions AgentNode::onRunHead(RequestId id, std::uint32_t status,
                                   std::string contentType, TimePoint now) {
-  noticeTime(now);
+  detectPause(now);
   auto it = Jobs.find(id);
   if (it == Jobs.end())
     return takeActions();
-  StoredAnswer *answer = Book.findAnswer(id);
-  assert(answer && "a running request has a response");
-  answer->HasHead = true;
-  answer->Status = status;
-  answer->ContentType = std::move(contentType);
+  StoredResponse *response = RequestLedger.findResponse(id);
+  assert(response && "a running request has a response");
+  response->HasHead = true;
+  response->Status = status;
+  response->ContentType = std::move(contentType);
   for (const Subscriber &sub : it->second.Subscribers)
-    send(sub.Link, Head{id, sub.Attempt, status, answer->ContentType});
+    send(sub.Link, Head{id, sub.Attempt, status, response->ContentType});
   return takeActions();
 }
 
 AgentActions AgentNode::onRunData(RequestId id, std::string_view data,
                                   TimePoint now) {
-  noticeTime(now);
+  detectPause(now);
   auto it = Jobs.find(id);
   if (it == Jobs.end())
     return takeActions();
-  std::uint64_t offset = Book.findAnswer(id)->end();
-  ResultCode code = Book.append(id, data);
+  std::uint64_t offset = RequestLedger.findResponse(id)->end();
+  ResultCode code = RequestLedger.append(id, data);
   if (code != ResultCode::Ok) {
     Out.push_back(StopRun{id});
     endRun(id, code, now);
@@ -109,13 +111,13 @@
 }
 
 AgentActions AgentNode::onRunEnd(RequestId id, ResultCode code, TimePoint now) {
-  noticeTime(now);
+  detectPause(now);
   if (!Running.contains(id))
     return takeActions();
   if (code == ResultCode::EndpointUnreachable) {
     DownUntil = now + DownPause;
     withdrawQueued(id, code, now);
-    startWaiting(now);
+    startQueued(now);
     return takeActions();
   }
   endRun(id, code, now);
@@ -124,38 +126,39 @@
 
 void AgentNode::endRun(RequestId id, ResultCode code, TimePoint now) {
   auto it = Jobs.find(id);
-  EngineLife life = it->second.Life;
+  EngineLife incarnation = it->second.EndpointIncarnation;
   Drain.record(now - *it->second.Started);
   if (code == ResultCode::EndpointFailed) {
     DownUntil = now + DownPause;
-    code = noteEngineEnd(life, now);
+    code = recordEngineExit(incarnation, now);
   }
-  StoredAnswer *answer = Book.findAnswer(id);
-  answer->Life = life;
-  std::uint64_t length = answer->end();
-  Book.finish(id, code, now);
+  StoredResponse *response = RequestLedger.findResponse(id);
+  response->EndpointIncarnation = incarnation;
+  std::uint64_t length = response->end();
+  RequestLedger.finish(id, code, now);
   for (const Subscriber &sub : it->second.Subscribers)
-    send(sub.Link, Finish{id, sub.Attempt, length, code, life});
+    send(sub.Link, Finish{id, sub.Attempt, length, code, incarnation});
   Deadlines.erase({it->second.Deadline, id});
   Running.erase(id);
   Jobs.erase(it);
-  startWaiting(now);
+  startQueued(now);
 }
 
-/// Records that the endpoint's incarnation \p life has exited, which ends all
-/// runs that it started. A leaving endpoint is stopped on purpose, so its exit
-/// is not attributed to its requests. Returns the code to report for the run.
-ResultCode AgentNode::noteEngineEnd(EngineLife life, TimePoint now) {
+/// Records that the endpoint's incarnation \p incarnation has exited, which
+/// ends all runs that it started. A leaving endpoint is stopped on purpose, so
+/// its exit is not attributed to its requests. Returns the code to report for
+/// the run.
+ResultCode AgentNode::recordEngineExit(EngineLife incarnation, TimePoint now) {
   bool wasLeaving = IsLeaving;
-  if (life == Life)
-    Life = EngineLife(life.get() + 1);
+  if (incarnation == EndpointIncarnation)
+    EndpointIncarnation = EngineLife(incarnation.get() + 1);
   updateLeaving(now);
   return wasLeaving ? ResultCode::AnswerBroken : ResultCode::EndpointFailed;
 }
 
 void AgentNode::withdrawQueued(RequestId id, ResultCode reason, TimePoint now) {
   auto it = Jobs.find(id);
-  Book.withdraw(id, reason, now);
+  RequestLedger.withdraw(id, reason, now);
   for (const Subscriber &sub : it->second.Subscribers)
     refuse(sub.Link, id, sub.Attempt, reason);
   Deadlines.erase({it->second.Deadline, id});
@@ -163,7 +166,7 @@
   Jobs.erase(it);
 }
 
-void AgentNode::stopIfUnwanted(RequestId id, TimePoint now) {
+void AgentNode::stopIfUnsubscribed(RequestId id, TimePoint now) {
   Job &job = Jobs.at(id);
   if (!job.Subscribers.empty() || !job.Order.Repeatable)
     return;
--- a/lib/Routing/EntryClaims.cpp
+++ b/lib/Routing/EntryClaims.cpp
@@ -35,8 +35,8 @@
   callPlatform(
       call,
       KvPut{claimKey(call.Request.Workspace, *call.Request.IdempotencyKey),
-            formatClaim(value), call.ClaimAt, Limits.ClaimLease});
-  touch(call, Limits.ClaimTimeout, now);
+            formatClaim(value), call.ClaimRevision, Limits.ClaimLease});
+  setStageTimer(call, Limits.ClaimTimeout, now);
 }
 
 void EntryNode::readClaim(Call &call, TimePoint now) {
@@ -45,7 +45,7 @@
   call.Stage = CallStage::ReadingClaim;
   callPlatform(call, KvGet{claimKey(call.Request.Workspace,
                                     *call.Request.IdempotencyKey)});
-  touch(call, Limits.ClaimTimeout, now);
+  setStageTimer(call, Limits.ClaimTimeout, now);
 }
 
 EntryActions EntryNode::onKvReply(KvCallId id, const KvReply &reply,
@@ -65,7 +65,7 @@
 void EntryNode::onClaimWritten(Call &call, const KvReply &reply,
                                TimePoint now) {
   if (reply.Code == ResultCode::Ok) {
-    call.ClaimAt = reply.At;
+    call.ClaimRevision = reply.At;
     dispatch(call, now);
     return;
   }
@@ -87,7 +87,7 @@
     retryClaim(call, now);
     return;
   }
-  call.ClaimAt = Revision(0);
+  call.ClaimRevision = Revision(0);
   if (!call.Permit) {
     call.Tries = 0;
     startProbing(call, now);
@@ -117,7 +117,7 @@
     finishWith(call, ResultCode::KeyReused);
     return;
   }
-  call.ClaimAt = reply.At;
+  call.ClaimRevision = reply.At;
   bind(call, claim.value().Permit);
   dispatch(call, now);
 }
--- a/lib/Routing/EntryCrashes.cpp
+++ b/lib/Routing/EntryCrashes.cpp
@@ -15,12 +15,12 @@
 
 /// Upper bound of the random backoff before a suspect request with several
 /// crashes is dispatched. The bound is many times a relay's latency.
-static constexpr Duration BackoffSpread = std::chrono::milliseconds(200);
+static constexpr Duration MaxSuspectBackoff = std::chrono::milliseconds(200);
 /// Maximum number of suspect runs in one report.
-static constexpr std::size_t MaxToldRuns = 64;
+static constexpr std::size_t MaxReportedRuns = 64;
 
 /// Returns a digest that identifies an endpoint's incarnation at all entries.
-static LifeDigest lifeOf(const EndpointId &endpoint, const Finish &msg) {
+static LifeDigest incarnationOf(const EndpointId &endpoint, const Finish &msg) {
   return digestLife(EndpointId(endpoint.get() + '/' +
                                std::to_string(msg.Id.Issuer.get()) + '/' +
                                std::to_string(msg.Life.get())));
@@ -31,7 +31,7 @@
   const EndpointId &endpoint = call.Permit->Endpoint;
   const ServiceView *service = findService(call);
   Duration ran = now - call.SentAt;
-  Crashes.onCrash(request, lifeOf(endpoint, msg), ran,
+  Crashes.onCrash(request, incarnationOf(endpoint, msg), ran,
                   service ? service->Endpoints.size() : 1, now);
   CrashNotes.push_back({request, std::to_string(call.Request.Id.get()),
                         endpoint, ran, Crashes.crashesOf(request),
@@ -52,10 +52,11 @@
   }
 }
 
-void EntryNode::quarantine(RequestDigest request, bool isTold, TimePoint now) {
+void EntryNode::quarantine(RequestDigest request, bool isFromPeer,
+                           TimePoint now) {
   CrashNotes.push_back(
       {request, "", EndpointId(), Duration(), Crashes.crashesOf(request),
-       Crashes.chanceOf(request, now), CrashStanding::Quarantined, isTold});
+       Crashes.chanceOf(request, now), CrashStanding::Quarantined, isFromPeer});
   endQuarantined(request);
 }
 
@@ -66,11 +67,11 @@
   for (const auto &[id, call] : Calls) {
     if (call.Request.Digest != request)
       continue;
-    bool isOut = call.Stage == CallStage::Dispatched ||
-                 call.Stage == CallStage::Accepted;
+    bool isInFlight = call.Stage == CallStage::Dispatched ||
+                      call.Stage == CallStage::Accepted;
     bool isUnsent =
         call.Stage == CallStage::Probing || call.Stage == CallStage::Deferred;
-    if (isUnsent || (isOut && mayRunElsewhere(call)))
+    if (isUnsent || (isInFlight && mayRunElsewhere(call)))
       ended.push_back(id);
   }
   for (CallId id : ended) {
@@ -109,9 +110,9 @@
   RequestDigest request = call.Request.Digest;
   bool runsHere = std::any_of(Calls.begin(), Calls.end(), [&](const auto &it) {
     const Call &other = it.second;
-    bool isOut = other.Stage == CallStage::Dispatched ||
-                 other.Stage == CallStage::Accepted;
-    return isOut && it.first != call.Request.Id &&
+    bool isInFlight = other.Stage == CallStage::Dispatched ||
+                      other.Stage == CallStage::Accepted;
+    return isInFlight && it.first != call.Request.Id &&
            other.Request.Digest == request;
   });
   if (runsHere || Crashes.isSettling(request) ||
@@ -122,7 +123,8 @@
   if (Crashes.crashesOf(request) < 2 || Reporter.entryCount(now) == 1)
     return false;
   if (!call.NotBefore) {
-    std::uniform_int_distribution<Duration::rep> turn(0, BackoffSpread.count());
+    std::uniform_int_distribution<Duration::rep> turn(
+        0, MaxSuspectBackoff.count());
     call.NotBefore = now + Duration(turn(Random));
   }
   return now < *call.NotBefore;
@@ -137,7 +139,7 @@
   }
   call.Stage = CallStage::Deferred;
   call.Offers.clear();
-  touch(call, Limits.DeferPollInterval, now);
+  setStageTimer(call, Limits.DeferPollInterval, now);
 }
 
 /// Resumes a deferred call. A call with a caller's ticket needs no probing, as
@@ -171,10 +173,10 @@
   if (Crashes.isEmpty())
     return out;
   for (const auto &[id, call] : Calls) {
-    bool isOut = call.Stage == CallStage::Dispatched ||
-                 call.Stage == CallStage::Accepted ||
-                 call.Stage == CallStage::Resolving;
-    if (isOut && isSuspect(call) && out.size() < MaxToldRuns)
+    bool isInFlight = call.Stage == CallStage::Dispatched ||
+                      call.Stage == CallStage::Accepted ||
+                      call.Stage == CallStage::Resolving;
+    if (isInFlight && isSuspect(call) && out.size() < MaxReportedRuns)
       out.push_back({call.Request.Digest, digestLife(call.Permit->Endpoint)});
   }
   return out;
--- a/lib/Routing/EntryMessages.cpp
+++ b/lib/Routing/EntryMessages.cpp
@@ -26,7 +26,7 @@
 
 void EntryNode::handle(const EndpointId &from, const ProbeReply &reply,
                        TimePoint now) {
-  SuspectUntil.erase(from);
+  UnresponsiveUntil.erase(from);
   auto it = Calls.find(reply.Call);
   if (it == Calls.end() || it->second.Stage != CallStage::Probing)
     return;
@@ -45,7 +45,7 @@
   if (!call)
     return;
   call->Stage = CallStage::Accepted;
-  touch(*call, call->Deadline - now, now);
+  setStageTimer(*call, call->Deadline - now, now);
 }
 
 /// Handles the end of a dispatch that ran or may have run without giving a
@@ -62,7 +62,7 @@
     return;
   }
   call.MayHaveRun = true;
-  moveElsewhere(call, msg.Code, now);
+  retryElsewhere(call, msg.Code, now);
 }
 
 void EntryNode::handle(const EndpointId & /*from*/, const Refused &msg,
@@ -72,7 +72,7 @@
     return;
   call->RetryAfter = std::max(call->RetryAfter, msg.RetryAfter);
   if (describe(msg.Code).Kind == Outcome::NotRun) {
-    moveElsewhere(*call, msg.Code, now);
+    retryElsewhere(*call, msg.Code, now);
     return;
   }
   onRunFailed(*call, Finish{msg.Id, msg.Attempt, 0, msg.Code, {}}, now);
@@ -83,12 +83,12 @@
   Call *call = findCurrent(msg.Id, msg.Attempt);
   if (!call)
     return;
-  touch(*call, Limits.StallTimeout, now);
+  setStageTimer(*call, Limits.StallTimeout, now);
   if (call->HasHead)
     return;
   call->HasHead = true;
   Out.push_back(AnswerHead{call->Request.Id, msg.Status, msg.ContentType});
-  passOn(*call, now);
+  forwardResponse(*call, now);
 }
 
 void EntryNode::handle(const EndpointId & /*from*/, const Chunk &msg,
@@ -96,24 +96,24 @@
   Call *call = findCurrent(msg.Id, msg.Attempt);
   if (!call)
     return;
-  touch(*call, Limits.StallTimeout, now);
-  call->Unsent += call->Answer.add(msg.Attempt, msg.Offset, msg.Data);
-  if (call->Answer.earlyBytes() > Limits.MaxEarlyBytes) {
+  setStageTimer(*call, Limits.StallTimeout, now);
+  call->Unsent += call->Response.add(msg.Attempt, msg.Offset, msg.Data);
+  if (call->Response.earlyBytes() > Limits.MaxEarlyBytes) {
     loseContact(*call, now);
     return;
   }
-  passOn(*call, now);
+  forwardResponse(*call, now);
 }
 
 /// Sends the caller all in-order bytes, and finishes the call if the response
 /// is complete.
-void EntryNode::passOn(Call &call, TimePoint now) {
+void EntryNode::forwardResponse(Call &call, TimePoint now) {
   if (!call.HasHead)
     return;
   if (!call.Unsent.empty())
     Out.push_back(AnswerData{call.Request.Id, std::exchange(call.Unsent, {})});
-  if (call.Answer.isComplete())
-    finishWhole(call, now);
+  if (call.Response.isComplete())
+    finishComplete(call, now);
 }
 
 void EntryNode::handle(const EndpointId & /*from*/, const Finish &msg,
@@ -122,8 +122,8 @@
   if (!call)
     return;
   if (msg.Code == ResultCode::Ok) {
-    call->Answer.setLength(msg.Attempt, msg.Length);
-    passOn(*call, now);
+    call->Response.setLength(msg.Attempt, msg.Length);
+    forwardResponse(*call, now);
     return;
   }
   onRunFailed(*call, msg, now);
@@ -144,7 +144,7 @@
       dispatch(call, now);
       break;
     case RunState::NeverStarts:
-      moveElsewhere(call, ResultCode::TicketVoid, now);
+      retryElsewhere(call, ResultCode::TicketVoid, now);
       break;
     case RunState::CannotTell:
       finishWith(call, ResultCode::IncarnationGone);
@@ -167,9 +167,9 @@
   auto [first, last] = CallsByRequest.equal_range(id);
   for (auto it = first; it != last; ++it) {
     Call &call = Calls.at(it->second);
-    bool isOut = call.Stage == CallStage::Dispatched ||
-                 call.Stage == CallStage::Accepted;
-    if (isOut && call.Attempt == attempt)
+    bool isInFlight = call.Stage == CallStage::Dispatched ||
+                      call.Stage == CallStage::Accepted;
+    if (isInFlight && call.Attempt == attempt)
       return &call;
   }
   return nullptr;
--- a/lib/Routing/EntryNode.cpp
+++ b/lib/Routing/EntryNode.cpp
@@ -39,10 +39,10 @@
     return takeActions();
   }
   judgeCrashes(now);
-  const CallerRequest &told = call.Request;
-  call.Request.Digest =
-      digestRequest(DigestKey, {told.Method, told.Service.get(), told.Target,
-                                told.Workspace.get(), told.Body});
+  const CallerRequest &stored = call.Request;
+  call.Request.Digest = digestRequest(
+      DigestKey, {stored.Method, stored.Service.get(), stored.Target,
+                  stored.Workspace.get(), stored.Body});
   Crashes.onSeen(call.Request.Digest, now);
   if (isQuarantined(call)) {
     finishWith(call, ResultCode::RequestQuarantined);
@@ -76,19 +76,22 @@
   call.ProbesOut = 0;
   const ServiceView *service = findService(call);
   std::vector<EndpointId> candidates;
-  std::set<LifeDigest> taken = endpointsOfSuspects(call, now);
+  std::set<LifeDigest> suspectEndpoints = endpointsOfSuspects(call, now);
   if (service) {
     auto isExcluded = [&](const EndpointId &id) {
-      auto suspect = SuspectUntil.find(id);
-      bool isSilent = !call.IgnoresSilence && suspect != SuspectUntil.end() &&
-                      suspect->second > now;
-      return isSilent || KnownLeaving.contains(id) || call.Tried.contains(id) ||
-             (!taken.empty() && taken.contains(digestLife(id)));
+      auto unresponsive = UnresponsiveUntil.find(id);
+      bool isUnresponsive = !call.ProbesUnresponsive &&
+                            unresponsive != UnresponsiveUntil.end() &&
+                            unresponsive->second > now;
+      return isUnresponsive || KnownLeaving.contains(id) ||
+             call.Tried.contains(id) ||
+             (!suspectEndpoints.empty() &&
+              suspectEndpoints.contains(digestLife(id)));
     };
     candidates = Picker.pickCandidates(*service, call.Request.Prefix,
                                        isExcluded, Random);
   }
-  if (candidates.empty() && !taken.empty()) {
+  if (candidates.empty() && !suspectEndpoints.empty()) {
     defer(call, now);
     return;
   }
@@ -106,7 +109,7 @@
     send(it, probe);
     ++call.ProbesOut;
   }
-  touch(call, Limits.ProbeTimeout, now);
+  setStageTimer(call, Limits.ProbeTimeout, now);
 }
 
 void EntryNode::chooseOffer(Call &call, TimePoint now) {
@@ -128,7 +131,7 @@
       // No endpoint replied. Probe the same endpoints again, as their replies
       // may only be late.
       call.Tried.clear();
-      call.IgnoresSilence = true;
+      call.ProbesUnresponsive = true;
     }
     if (++call.Tries < MaxProbeRounds)
       startProbing(call, now);
@@ -168,7 +171,7 @@
   call.Tries = 0;
   LastAttempt = AttemptNumber(LastAttempt.get() + 1);
   call.Attempt = LastAttempt;
-  call.Answer.beginAttempt(call.Attempt);
+  call.Response.beginAttempt(call.Attempt);
   call.Stage = CallStage::Dispatched;
   sendDispatch(call, now);
   if (isSuspect(call))
@@ -179,7 +182,7 @@
   Dispatch order;
   order.Permit = *call.Permit;
   order.Attempt = call.Attempt;
-  order.ResumeFrom = call.Answer.nextOffset();
+  order.ResumeFrom = call.Response.nextOffset();
   order.Deadline =
       std::max(Duration::zero(), call.Deadline - now - Limits.DeadlineMargin);
   order.Priority = call.Request.Priority;
@@ -189,14 +192,14 @@
   order.ContentType = call.Request.ContentType;
   order.Body = call.Request.Body;
   send(call.Permit->Endpoint, std::move(order));
-  touch(call, Limits.AcceptTimeout, now);
+  setStageTimer(call, Limits.AcceptTimeout, now);
 }
 
 void EntryNode::startResolving(Call &call, TimePoint now) {
   call.Stage = CallStage::Resolving;
   call.Tries = 0;
   send(call.Permit->Endpoint, Resolve{*call.Permit});
-  touch(call, Limits.ResolveInterval, now);
+  setStageTimer(call, Limits.ResolveInterval, now);
 }
 
 /// Whether the call may run at another endpoint although its current dispatch
@@ -214,7 +217,7 @@
 
 /// Retries the call at another endpoint. The caller of this function ensures
 /// that the current dispatch never starts, or that the request may run again.
-void EntryNode::moveElsewhere(Call &call, ResultCode reason, TimePoint now) {
+void EntryNode::retryElsewhere(Call &call, ResultCode reason, TimePoint now) {
   call.LastRefusal = reason;
   bool isTied = call.Request.CallerTicket.has_value();
   if (isTied || call.Dispatches >= Limits.MaxDispatches ||
@@ -236,14 +239,14 @@
 /// dispatch is unknown: retries the call if it may run again, otherwise
 /// resolves the dispatch.
 void EntryNode::loseContact(Call &call, TimePoint now) {
-  SuspectUntil[call.Permit->Endpoint] = now + Limits.SuspectTime;
+  UnresponsiveUntil[call.Permit->Endpoint] = now + Limits.UnresponsiveTime;
   if (!mayRunElsewhere(call)) {
     startResolving(call, now);
     return;
   }
   send(call.Permit->Endpoint, Cancel{call.Permit->Id, call.Attempt});
   call.MayHaveRun = true;
-  moveElsewhere(call, ResultCode::ContactLost, now);
+  retryElsewhere(call, ResultCode::ContactLost, now);
 }
 
 EntryActions EntryNode::onLinkDown(const EndpointId &to, TimePoint now) {
@@ -251,16 +254,16 @@
   // this on the new link.
   KnownLeaving.erase(to);
   Reporter.onLinkDown(to, now);
-  SuspectUntil[to] = now + Limits.SuspectTime;
-  std::vector<CallId> touched;
+  UnresponsiveUntil[to] = now + Limits.UnresponsiveTime;
+  std::vector<CallId> affected;
   for (auto &[id, call] : Calls)
     if (call.Permit && call.Permit->Endpoint == to)
-      touched.push_back(id);
-  for (CallId id : touched) {
+      affected.push_back(id);
+  for (CallId id : affected) {
     Call &call = Calls.at(id);
-    bool isOut = call.Stage == CallStage::Dispatched ||
-                 call.Stage == CallStage::Accepted;
-    if (isOut)
+    bool isInFlight = call.Stage == CallStage::Dispatched ||
+                      call.Stage == CallStage::Accepted;
+    if (isInFlight)
       loseContact(call, now);
   }
   return takeActions();
@@ -305,7 +308,7 @@
     for (const EndpointId &it : call.Tried) {
       auto isFrom = [&](const ProbeOffer &o) { return o.Endpoint == it; };
       if (std::none_of(call.Offers.begin(), call.Offers.end(), isFrom))
-        SuspectUntil[it] = now + Limits.SuspectTime;
+        UnresponsiveUntil[it] = now + Limits.UnresponsiveTime;
     }
     chooseOffer(call, now);
     return;
@@ -328,7 +331,7 @@
   case CallStage::Resolving:
     call.Tries = std::min(call.Tries + 1, MaxResolveBackoff);
     send(call.Permit->Endpoint, Resolve{*call.Permit});
-    touch(call, Limits.ResolveInterval * (call.Tries + 1), now);
+    setStageTimer(call, Limits.ResolveInterval * (call.Tries + 1), now);
     return;
   }
 }
@@ -364,7 +367,7 @@
   return it == Snapshot->Services.end() ? nullptr : &it->second;
 }
 
-void EntryNode::touch(Call &call, Duration wait, TimePoint now) {
+void EntryNode::setStageTimer(Call &call, Duration wait, TimePoint now) {
   Timers.erase({call.Timer, call.Request.Id});
   call.Timer = std::min(now + wait, call.Deadline);
   Timers.emplace(call.Timer, call.Request.Id);
@@ -389,7 +392,7 @@
   call.Permit.reset();
 }
 
-void EntryNode::finishWhole(Call &call, TimePoint now) {
+void EntryNode::finishComplete(Call &call, TimePoint now) {
   if (isSuspect(call) || isQuarantined(call)) {
     Crashes.onWhole(call.Request.Digest, now);
     Reporter.onChange(now);
--- a/unittests/Routing/AtMostOnceTest.cpp
+++ b/unittests/Routing/AtMostOnceTest.cpp
@@ -20,7 +20,7 @@
 static constexpr std::size_t EntryCount = 3;
 static constexpr std::size_t AgentCount = 3;
 
-static void breakSomething(RequestWorld &world) {
+static void injectFault(RequestWorld &world) {
   RandomScheduler &random = world.Scheduler;
   std::size_t agent = random.below(AgentCount);
   switch (random.below(7)) {
@@ -44,56 +44,58 @@
 
 /// Sends a request under an idempotency key, up to three times and sometimes
 /// concurrently.
-static void askWithKey(RequestWorld &world, const std::string &name) {
+static void sendWithKey(RequestWorld &world, const std::string &name) {
   std::uint64_t tries = 1 + world.Scheduler.below(3);
   for (std::uint64_t i = 0; i < tries; ++i) {
     auto after = milliseconds(world.Scheduler.below(6000));
     world.Scheduler.at(world.Scheduler.now() + after, [&world, name] {
-      world.ask(world.Scheduler.below(EntryCount), name,
-                [&](CallerRequest &it) { it.IdempotencyKey = name; });
+      world.sendRequest(world.Scheduler.below(EntryCount), name,
+                        [&](CallerRequest &it) { it.IdempotencyKey = name; });
     });
   }
 }
 
 /// Gets a ticket and sends the request with the ticket through several entries.
-static void askWithTicket(RequestWorld &world, const std::string &name) {
+static void sendWithTicket(RequestWorld &world, const std::string &name) {
   CallRecord &record =
-      world.ask(world.Scheduler.below(EntryCount), "ticket",
-                [](CallerRequest &it) { it.WantsTicket = true; });
+      world.sendRequest(world.Scheduler.below(EntryCount), "ticket",
+                        [](CallerRequest &it) { it.WantsTicket = true; });
   for (unsigned i = 0; i < 2; ++i) {
     auto after = milliseconds(500 + world.Scheduler.below(4000));
     world.Scheduler.at(world.Scheduler.now() + after, [&world, &record, name] {
-      if (record.Given)
-        world.ask(world.Scheduler.below(EntryCount), name,
-                  [&](CallerRequest &it) { it.CallerTicket = record.Given; });
+      if (record.IssuedTicket)
+        world.sendRequest(
+            world.Scheduler.below(EntryCount), name,
+            [&](CallerRequest &it) { it.CallerTicket = record.IssuedTicket; });
     });
   }
 }
 
-static void askOnce(RequestWorld &world, const std::string &name) {
-  world.ask(world.Scheduler.below(EntryCount), name, [](CallerRequest &) {});
+static void sendOnce(RequestWorld &world, const std::string &name) {
+  world.sendRequest(world.Scheduler.below(EntryCount), name,
+                    [](CallerRequest &) {});
 }
 
 /// Sends a request that may run more than once.
-static void askRepeatable(RequestWorld &world, const std::string &name) {
-  world.ask(world.Scheduler.below(EntryCount), "again " + name,
-            [&](CallerRequest &it) {
-              it.IsRepeatable = true;
-              if (world.Scheduler.chance(50))
-                it.Service = ServiceId("ask");
-            });
+static void sendRepeatable(RequestWorld &world, const std::string &name) {
+  world.sendRequest(world.Scheduler.below(EntryCount), "again " + name,
+                    [&](CallerRequest &it) {
+                      it.IsRepeatable = true;
+                      if (world.Scheduler.chance(50))
+                        it.Service = ServiceId("ask");
+                    });
 }
 
-static constexpr void (*Kinds[])(RequestWorld &, const std::string &) = {
-    askOnce, askWithKey, askWithTicket, askRepeatable};
+static constexpr void (*RequestKinds[])(RequestWorld &, const std::string &) = {
+    sendOnce, sendWithKey, sendWithTicket, sendRepeatable};
 
 static bool overlaps(const CallRecord &a, const CallRecord &b) {
   return a.Began <= *b.Ended && b.Began <= *a.Ended;
 }
 
 /// Whether \p run proves that \p call wrongly ended as "not run".
-static bool contradicts(const RequestWorld &world, const CallRecord &call,
-                        const RunRecord &run) {
+static bool disprovesNotRun(const RequestWorld &world, const CallRecord &call,
+                            const RunRecord &run) {
   if (run.Name != call.Name || run.Began > *call.Ended)
     return false;
   if (run.Began < call.Began)
@@ -107,7 +109,7 @@
 }
 
 /// Returns a description of the first violated guarantee, or "".
-static std::string findFault(const RequestWorld &world) {
+static std::string findViolation(const RequestWorld &world) {
   std::map<std::string, unsigned> runs;
   for (const RunRecord &it : world.Runs)
     if (++runs[it.Name] > 1 && !it.Name.starts_with("again"))
@@ -117,7 +119,7 @@
       return call->Name + " got no final answer";
     if (*call->Ended > call->Deadline)
       return call->Name + " was answered after its deadline";
-    if (call->IsCut || call->Name == "ticket")
+    if (call->IsAborted || call->Name == "ticket")
       continue;
     if (call->Code == ResultCode::Ok &&
         call->Body != RequestWorld::expectedBody(call->Name))
@@ -127,7 +129,7 @@
     if (describe(call->Code).Kind != Outcome::NotRun)
       continue;
     for (const RunRecord &run : world.Runs)
-      if (contradicts(world, *call, run))
+      if (disprovesNotRun(world, *call, run))
         return call->Name + " was told not-run but ran";
   }
   return "";
@@ -135,7 +137,7 @@
 
 TEST_CASE("under random faults no request runs twice, and none that ended as "
           "not run has run") {
-  std::map<Outcome, unsigned> told;
+  std::map<Outcome, unsigned> outcomes;
   std::size_t runs = 0;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     RequestWorld world(seed, FaultRates(), EntryCount, AgentCount);
@@ -143,39 +145,39 @@
     TimePoint begin = random.now();
     for (unsigned i = 0; i < 12; ++i) {
       std::string name = "r" + std::to_string(i);
-      auto ask = Kinds[i % std::size(Kinds)];
+      auto sendRequest = RequestKinds[i % std::size(RequestKinds)];
       random.at(begin + milliseconds(random.below(3000)),
-                [&world, ask, name] { ask(world, name); });
+                [&world, sendRequest, name] { sendRequest(world, name); });
     }
     for (unsigned i = 0; i < 5; ++i)
       random.at(begin + milliseconds(random.below(8000)),
-                [&world] { breakSomething(world); });
+                [&world] { injectFault(world); });
     random.runUntil(begin + seconds(20));
-    std::string fault = findFault(world);
+    std::string violation = findViolation(world);
     INFO("seed ", seed);
-    REQUIRE(fault == "");
+    REQUIRE(violation == "");
     REQUIRE(world.LateStarts == 0);
     runs += world.Runs.size();
     for (const auto &it : world.Calls)
-      if (!it->IsCut)
-        ++told[describe(it->Code).Kind];
+      if (!it->IsAborted)
+        ++outcomes[describe(it->Code).Kind];
   }
   // The test is meaningful only if calls ended with every kind of outcome.
   CHECK(runs > Seeds);
-  CHECK(told[Outcome::Complete] > Seeds);
-  CHECK(told[Outcome::NotRun] > Seeds / 10);
-  CHECK(told[Outcome::Unknown] > Seeds / 10);
-  MESSAGE("runs ", runs, ", complete ", told[Outcome::Complete], ", not-run ",
-          told[Outcome::NotRun], ", failed ", told[Outcome::Failed],
-          ", unknown ", told[Outcome::Unknown]);
+  CHECK(outcomes[Outcome::Complete] > Seeds);
+  CHECK(outcomes[Outcome::NotRun] > Seeds / 10);
+  CHECK(outcomes[Outcome::Unknown] > Seeds / 10);
+  MESSAGE("runs ", runs, ", complete ", outcomes[Outcome::Complete],
+          ", not-run ", outcomes[Outcome::NotRun], ", failed ",
+          outcomes[Outcome::Failed], ", unknown ", outcomes[Outcome::Unknown]);
 }
 
 TEST_CASE("without faults every request gets a complete response") {
   RequestWorld world(7, {0, 0, 0, 0}, EntryCount, AgentCount);
   for (unsigned i = 0; i < 6; ++i)
-    askOnce(world, "r" + std::to_string(i));
+    sendOnce(world, "r" + std::to_string(i));
   world.Scheduler.runUntil(world.Scheduler.now() + seconds(10));
-  CHECK(findFault(world) == "");
+  CHECK(findViolation(world) == "");
   for (const auto &it : world.Calls)
     CHECK(it->Code == ResultCode::Ok);
 }
@@ -187,14 +189,14 @@
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     RequestWorld world(seed, {0, 0, 0, 0}, 2, 2, Lease);
     RandomScheduler &random = world.Scheduler;
-    auto ask = [&world](std::size_t entry) {
-      world.ask(entry, "refund", [](CallerRequest &it) {
+    auto sendRequest = [&world](std::size_t entry) {
+      world.sendRequest(entry, "refund", [](CallerRequest &it) {
         it.IdempotencyKey = "refund";
         it.Deadline = seconds(30);
       });
     };
     random.runUntil(random.now() + seconds(1));
-    ask(0);
+    sendRequest(0);
     // Freeze the entry at a random point between the first read of the key and
     // the dispatch.
     random.runUntil(random.now() + milliseconds(random.below(20)));
@@ -202,7 +204,7 @@
     world.freezeEntry(0, Freeze);
     TimePoint wake = random.now() + Freeze;
     random.runUntil(random.now() + Lease + seconds(1));
-    ask(1);
+    sendRequest(1);
     random.runUntil(wake + seconds(30));
     INFO("seed " << seed);
     // Its own run may lie before the freeze; then the retention has passed.
@@ -224,7 +226,7 @@
     world.setLeaving(i, true);
   random.runUntil(random.now() + seconds(1));
   for (unsigned i = 0; i < 6; ++i)
-    askOnce(world, "r" + std::to_string(i));
+    sendOnce(world, "r" + std::to_string(i));
   random.runUntil(random.now() + seconds(1));
   CHECK(world.Runs.empty());
   for (const auto &it : world.Calls) {
@@ -236,7 +238,7 @@
   for (std::size_t i = 0; i < AgentCount; ++i)
     world.setLeaving(i, false);
   random.runUntil(random.now() + seconds(2));
-  askOnce(world, "later");
+  sendOnce(world, "later");
   random.runUntil(random.now() + seconds(2));
   CHECK(world.Calls.back()->Code == ResultCode::Ok);
 }
--- a/unittests/Routing/EndedEngineTest.cpp
+++ b/unittests/Routing/EndedEngineTest.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned Seeds = 20;
 /// Three crashes before the request can be quarantined, and three more while
 /// the crash reports propagate.
-constexpr unsigned MostEnds = 6;
+constexpr unsigned MaxCrashes = 6;
 constexpr std::size_t EntryCount = 3;
 constexpr std::size_t AgentCount = 12;
 
@@ -36,20 +36,20 @@
 
   /// Sends the request \p name every \p pause until \p end, to the entries in
   /// turn.
-  void askOften(const std::string &name, Duration pause, TimePoint end) {
+  void sendRepeatedly(const std::string &name, Duration pause, TimePoint end) {
     std::size_t n = 0;
     for (TimePoint at = Scheduler.now(); at < end; at += pause, ++n)
       Scheduler.at(at, [this, name, n] {
         bool isDeadly = name == "deadly";
-        ask(n % EntryCount, isDeadly ? name : name + std::to_string(n),
-            [](CallerRequest &it) { it.IsRepeatable = true; });
+        sendRequest(n % EntryCount, isDeadly ? name : name + std::to_string(n),
+                    [](CallerRequest &it) { it.IsRepeatable = true; });
       });
   }
 
   unsigned countCode(ResultCode code, bool ofDeadly) const {
     unsigned n = 0;
     for (const auto &it : Calls)
-      n += it->Ended && !it->IsCut && it->Code == code &&
+      n += it->Ended && !it->IsAborted && it->Code == code &&
                    (it->Name == "deadly") == ofDeadly
                ? 1
                : 0;
@@ -72,11 +72,11 @@
     EngineWorld world(seed);
     TimePoint begin = world.Scheduler.now();
     world.Scheduler.runUntil(begin + milliseconds(200));
-    world.askOften("deadly", milliseconds(70), begin + seconds(8));
-    world.askOften("innocent", milliseconds(30), begin + seconds(8));
+    world.sendRepeatedly("deadly", milliseconds(70), begin + seconds(8));
+    world.sendRepeatedly("innocent", milliseconds(30), begin + seconds(8));
     world.Scheduler.runUntil(begin + seconds(14));
-    CHECK(world.deadlyEnds() >= 1);
-    CHECK(world.deadlyEnds() <= MostEnds);
+    CHECK(world.deadlyCrashes() >= 1);
+    CHECK(world.deadlyCrashes() <= MaxCrashes);
     CHECK(world.countCode(ResultCode::Ok, true) == 0);
     CHECK(world.countCode(ResultCode::RequestQuarantined, true) > 0);
     CHECK(world.countCode(ResultCode::RequestQuarantined, false) == 0);
@@ -93,11 +93,11 @@
     TimePoint begin = world.Scheduler.now();
     world.setOutage(seconds(60));
     world.Scheduler.runUntil(begin + milliseconds(200));
-    world.askOften("deadly", milliseconds(70), begin + seconds(12));
+    world.sendRepeatedly("deadly", milliseconds(70), begin + seconds(12));
     world.Scheduler.runUntil(begin + seconds(3));
-    unsigned before = world.deadlyEnds();
+    unsigned before = world.deadlyCrashes();
     CHECK(before >= 1);
-    CHECK(before <= MostEnds);
+    CHECK(before <= MaxCrashes);
     // Kill the entries one by one, then all at once, then one together with two
     // relays.
     for (std::size_t i = 0; i < EntryCount; ++i) {
@@ -111,7 +111,7 @@
     world.killAgent(world.Scheduler.below(AgentCount));
     world.killEntry(0);
     world.Scheduler.runUntil(begin + seconds(15));
-    CHECK(world.deadlyEnds() == before);
+    CHECK(world.deadlyCrashes() == before);
   }
 }
 
@@ -122,8 +122,8 @@
     EngineWorld world(seed, {0, 15, 0, 2});
     TimePoint begin = world.Scheduler.now();
     world.Scheduler.runUntil(begin + milliseconds(200));
-    world.askOften("deadly", milliseconds(110), begin + seconds(10));
-    world.askOften("innocent", milliseconds(40), begin + seconds(10));
+    world.sendRepeatedly("deadly", milliseconds(110), begin + seconds(10));
+    world.sendRepeatedly("innocent", milliseconds(40), begin + seconds(10));
     for (unsigned k = 0; k < 12; ++k) {
       TimePoint at = begin + milliseconds(300 + 700 * k);
       world.Scheduler.at(at, [&world, k] {
@@ -145,7 +145,7 @@
       });
     }
     world.Scheduler.runUntil(begin + seconds(16));
-    CHECK(world.deadlyEnds() <= MostEnds);
+    CHECK(world.deadlyCrashes() <= MaxCrashes);
     CHECK(world.countCode(ResultCode::RequestQuarantined, false) == 0);
   }
 }
@@ -156,16 +156,16 @@
     EngineWorld world(seed);
     TimePoint begin = world.Scheduler.now();
     world.Scheduler.runUntil(begin + milliseconds(200));
-    world.askOften("innocent", milliseconds(15), begin + seconds(8));
+    world.sendRepeatedly("innocent", milliseconds(15), begin + seconds(8));
     // The same request repeatedly, as from a polling caller.
     for (unsigned k = 0; k < 300; ++k)
       world.Scheduler.at(begin + milliseconds(200 + 25 * k), [&world, k] {
-        world.ask(k % EntryCount, "poll",
-                  [](CallerRequest &it) { it.IsRepeatable = true; });
+        world.sendRequest(k % EntryCount, "poll",
+                          [](CallerRequest &it) { it.IsRepeatable = true; });
       });
     for (unsigned k = 0; k < 24; ++k)
       world.Scheduler.at(begin + milliseconds(400 + 300 * k), [&world] {
-        world.endEngine(world.Scheduler.below(AgentCount));
+        world.crashEngine(world.Scheduler.below(AgentCount));
       });
     world.Scheduler.runUntil(begin + seconds(14));
     CHECK(world.countCode(ResultCode::RequestQuarantined, false) == 0);
--- a/unittests/Routing/FailingRunTest.cpp
+++ b/unittests/Routing/FailingRunTest.cpp
@@ -16,9 +16,9 @@
 namespace {
 /// An entry whose agents offer capacity at once and whose engines crash on
 /// every request.
-class EndingAgents {
+class CrashingEndpoints {
 public:
-  explicit EndingAgents(unsigned endpoints)
+  explicit CrashingEndpoints(unsigned endpoints)
       : Entry(DataCentreId("d"), EntryLimits(), 1) {
     auto snapshot = std::make_shared<RoutingSnapshot>();
     for (unsigned i = 0; i < endpoints; ++i)
@@ -40,37 +40,37 @@
     request.Body = "crashes every engine";
     request.IsRepeatable = true;
     request.Deadline = seconds(8);
-    Told = ResultCode::Ok;
-    take(Entry.onCall(request, Now));
+    LastResult = ResultCode::Ok;
+    perform(Entry.onCall(request, Now));
     Now += seconds(2);
-    return Told;
+    return LastResult;
   }
 
   unsigned runs() const { return Runs; }
 
 private:
-  void take(const EntryActions &actions) {
+  void perform(const EntryActions &actions) {
     for (const EntryAction &it : actions) {
       if (const auto *sent = std::get_if<SendToAgent>(&it))
-        answer(*sent);
+        respond(*sent);
       if (const auto *error = std::get_if<AnswerError>(&it))
-        Told = error->Code;
+        LastResult = error->Code;
     }
   }
 
-  void answer(const SendToAgent &sent) {
+  void respond(const SendToAgent &sent) {
     if (const auto *probe = std::get_if<Probe>(&sent.Body)) {
       ProbeReply reply;
       reply.Call = probe->Call;
       reply.Permit.Endpoint = sent.To;
       reply.Permit.Id = {Incarnation(1), TicketSequence(++LastTicket)};
-      take(Entry.onMessage(sent.To, reply, Now));
+      perform(Entry.onMessage(sent.To, reply, Now));
     } else if (const auto *order = std::get_if<Dispatch>(&sent.Body)) {
       ++Runs;
-      take(Entry.onMessage(sent.To,
-                           Finish{order->Permit.Id, order->Attempt, 0,
-                                  ResultCode::EndpointFailed},
-                           Now));
+      perform(Entry.onMessage(sent.To,
+                              Finish{order->Permit.Id, order->Attempt, 0,
+                                     ResultCode::EndpointFailed},
+                              Now));
     }
   }
 
@@ -79,18 +79,18 @@
   std::uint64_t LastCall = 0;
   std::uint64_t LastTicket = 0;
   unsigned Runs = 0;
-  ResultCode Told = ResultCode::Ok;
+  ResultCode LastResult = ResultCode::Ok;
 };
 } // namespace
 
 /// Three runs before the request can be quarantined, and three more while the
 /// crash reports propagate.
-static constexpr unsigned MostRuns = 6;
+static constexpr unsigned MaxRuns = 6;
 
 TEST_CASE("through agents, a request that crashes its endpoints is run only a "
           "few times") {
-  EndingAgents world(32);
+  CrashingEndpoints world(32);
   for (unsigned i = 0; i < 12; ++i)
     CHECK(world.call() != ResultCode::Ok);
-  CHECK(world.runs() <= MostRuns);
+  CHECK(world.runs() <= MaxRuns);
 }
--- a/unittests/Routing/FairQueueTest.cpp
+++ b/unittests/Routing/FairQueueTest.cpp
@@ -131,10 +131,11 @@
 
 TEST_CASE("a request that cannot finish by its deadline is refused at once") {
   BusyAgent agent;
-  ProbeReply patient = agent.probe("w", seconds(10));
-  CHECK(patient.Code == ResultCode::Ok);
-  CHECK(patient.Wait > Duration::zero());
-  ProbeReply hasty = agent.probe("w", patient.Wait + milliseconds(1));
-  CHECK(hasty.Code == ResultCode::QueueFull);
-  CHECK(hasty.RetryAfter > Duration::zero());
+  ProbeReply longDeadline = agent.probe("w", seconds(10));
+  CHECK(longDeadline.Code == ResultCode::Ok);
+  CHECK(longDeadline.Wait > Duration::zero());
+  ProbeReply shortDeadline =
+      agent.probe("w", longDeadline.Wait + milliseconds(1));
+  CHECK(shortDeadline.Code == ResultCode::QueueFull);
+  CHECK(shortDeadline.RetryAfter > Duration::zero());
 }
--- a/unittests/Routing/LeavingTest.cpp
+++ b/unittests/Routing/LeavingTest.cpp
@@ -29,7 +29,7 @@
   }
 
   /// Sends a new request and returns whether the entry probes the endpoint.
-  bool isAsked() {
+  bool isProbed() {
     CallerRequest request;
     request.Id = CallId(++LastCall);
     request.Service = ServiceId("s");
@@ -50,29 +50,30 @@
 
 TEST_CASE("an entry does not probe an endpoint that announced its leaving") {
   OneEndpoint fixture;
-  CHECK(fixture.isAsked());
+  CHECK(fixture.isProbed());
   fixture.Entry.onMessage(fixture.Id, Leaving{true}, Start);
-  CHECK_FALSE(fixture.isAsked());
+  CHECK_FALSE(fixture.isProbed());
   fixture.Entry.onMessage(fixture.Id, Leaving{false}, Start);
-  CHECK(fixture.isAsked());
+  CHECK(fixture.isProbed());
 }
 
 TEST_CASE("an endpoint whose leaving agent was replaced is probed again") {
   OneEndpoint fixture;
   fixture.Entry.onMessage(fixture.Id, Leaving{true}, Start);
   fixture.Entry.onLinkDown(fixture.Id, Start);
-  // After the loss of the link the endpoint is excluded for SuspectTime.
-  fixture.Entry.onTimer(Start + EntryLimits().SuspectTime);
+  // The loss of the link excludes the endpoint for UnresponsiveTime.
+  fixture.Entry.onTimer(Start + EntryLimits().UnresponsiveTime);
   fixture.Entry.onMessage(fixture.Id, ProbeReply{}, Start);
-  CHECK(fixture.isAsked());
+  CHECK(fixture.isProbed());
 }
 
 /// Returns the dispatch of request \p n with a ticket issued by \p agent.
 static Dispatch makeDispatch(AgentNode &agent, std::uint64_t n) {
-  AgentActions asked =
+  AgentActions probeActions =
       agent.onMessage(Link, Probe{CallId(n), {}, seconds(5)}, Start);
   Dispatch out;
-  out.Permit = std::get<ProbeReply>(std::get<SendToLink>(asked[0]).Body).Permit;
+  out.Permit =
+      std::get<ProbeReply>(std::get<SendToLink>(probeActions[0]).Body).Permit;
   out.Attempt = AttemptNumber(static_cast<std::uint32_t>(n));
   out.Deadline = seconds(5);
   return out;
@@ -142,7 +143,7 @@
 TEST_CASE("an entry that confirmed the leaving does not use an outstanding "
           "offer") {
   OneEndpoint fixture;
-  CHECK(fixture.isAsked());
+  CHECK(fixture.isProbed());
   EntryActions actions =
       fixture.Entry.onMessage(fixture.Id, Leaving{true}, Start);
   REQUIRE(actions.size() == 1);
--- a/unittests/Routing/ProbePickerTest.cpp
+++ b/unittests/Routing/ProbePickerTest.cpp
@@ -16,22 +16,23 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-static const DataCentreId nearPlace("near");
+static const DataCentreId nearDataCentre("near");
 static constexpr PickerWeights Weights{milliseconds(4), milliseconds(2)};
 
 static ServiceView makeService(std::size_t n) {
   ServiceView service;
   for (std::size_t i = 0; i < n; ++i)
-    service.Endpoints.push_back({EndpointId("e" + std::to_string(i)),
-                                 ServiceId("s"),
-                                 i % 3 == 0 ? nearPlace : DataCentreId("far"),
-                                 "",
-                                 {},
-                                 i % 7 == 6});
+    service.Endpoints.push_back(
+        {EndpointId("e" + std::to_string(i)),
+         ServiceId("s"),
+         i % 3 == 0 ? nearDataCentre : DataCentreId("far"),
+         "",
+         {},
+         i % 7 == 6});
   return service;
 }
 
-static bool acceptsAll(const EndpointId & /*id*/) { return false; }
+static bool excludesNone(const EndpointId & /*id*/) { return false; }
 
 TEST_CASE("candidates are distinct and not leaving, the home endpoint first, "
           "then endpoints of the own data centre") {
@@ -40,13 +41,14 @@
     ServiceView service = makeService(n);
     for (std::uint64_t prefix = 0; prefix < 20; ++prefix) {
       INFO("endpoints " << n << ", prefix " << prefix);
-      ProbePicker picker(3, Weights, nearPlace);
-      auto chosen = picker.pickCandidates(service, prefix, acceptsAll, random);
+      ProbePicker picker(3, Weights, nearDataCentre);
+      auto chosen =
+          picker.pickCandidates(service, prefix, excludesNone, random);
       std::size_t staying = 0;
       std::size_t near = 0;
       for (const EndpointView &it : service.Endpoints) {
         staying += !it.IsLeaving;
-        near += !it.IsLeaving && it.DataCentre == nearPlace;
+        near += !it.IsLeaving && it.DataCentre == nearDataCentre;
       }
       CHECK(chosen.size() == std::min<std::size_t>(3, staying));
       std::set<EndpointId> distinct(chosen.begin(), chosen.end());
@@ -57,7 +59,8 @@
         CHECK(chosen.front() == home->Id);
       std::size_t nearChosen = 0;
       for (const EndpointView &it : service.Endpoints)
-        nearChosen += it.DataCentre == nearPlace && distinct.contains(it.Id);
+        nearChosen +=
+            it.DataCentre == nearDataCentre && distinct.contains(it.Id);
       // All candidates but the home endpoint are in the own data centre, as
       // long as enough endpoints are there.
       CHECK(nearChosen + 1 >= std::min(near, chosen.size()));
@@ -82,7 +85,7 @@
   std::mt19937_64 random(1);
   auto below = [&](std::uint64_t n) { return random() % n; };
   ServiceView service = makeService(10);
-  ProbePicker picker(3, Weights, nearPlace);
+  ProbePicker picker(3, Weights, nearDataCentre);
   for (int round = 0; round < 2000; ++round) {
     std::uint64_t prefix = below(5);
     const EndpointView *home = findPrefixHome(service, prefix);
--- a/unittests/Routing/RequestWorld.cpp
+++ b/unittests/Routing/RequestWorld.cpp
@@ -13,9 +13,9 @@
 using std::chrono::seconds;
 
 static constexpr Duration KvTimeout = milliseconds(400);
-static constexpr std::uint64_t EntriesPerLife = 64;
+static constexpr std::uint64_t EntriesPerIncarnation = 64;
 /// How long an engine takes to restart.
-static constexpr Duration DownTime = milliseconds(600);
+static constexpr Duration EngineDowntime = milliseconds(600);
 /// How long after it was marked as leaving an endpoint may get new requests.
 static constexpr Duration LeavingGrace = seconds(5);
 
@@ -55,9 +55,10 @@
   entry.Node = std::make_unique<EntryNode>(DataCentreId("d"), limits,
                                            Scheduler.below(1U << 30U));
   entry.Node->setSnapshot(Snapshot);
-  entry.Life = ++LastLife;
-  toEntry(i, entry.Life,
-          [this](EntryNode &node) { return node.onTimer(Scheduler.now()); });
+  entry.ProcessIncarnation = ++LastIncarnation;
+  deliverToEntry(i, entry.ProcessIncarnation, [this](EntryNode &node) {
+    return node.onTimer(Scheduler.now());
+  });
 }
 
 void RequestWorld::startAgent(std::size_t i) {
@@ -66,12 +67,12 @@
   limits.Slots = 2;
   limits.MaxQueue = 3;
   limits.Ledger.MaxRecords = LedgerRecords;
-  agent.Life = ++LastLife;
-  agent.Node =
-      std::make_unique<AgentNode>(agent.Id, Incarnation(agent.Life), "secret",
-                                  limits, Scheduler.below(1U << 30U));
+  agent.ProcessIncarnation = ++LastIncarnation;
+  agent.Node = std::make_unique<AgentNode>(
+      agent.Id, Incarnation(agent.ProcessIncarnation), "secret", limits,
+      Scheduler.below(1U << 30U));
   apply(i, agent.Node->onTimer(Scheduler.now()));
-  toAgent(i, agent.Life, [this, i](AgentNode &node) {
+  deliverToAgent(i, agent.ProcessIncarnation, [this, i](AgentNode &node) {
     return node.setLeaving(Agents[i].LeavingSince.has_value(), Scheduler.now());
   });
 }
@@ -83,13 +84,14 @@
   return i;
 }
 
-LinkId RequestWorld::linkOf(std::size_t entry, std::uint64_t life) const {
-  return LinkId(life * EntriesPerLife + entry);
+LinkId RequestWorld::linkOf(std::size_t entry,
+                            std::uint64_t incarnation) const {
+  return LinkId(incarnation * EntriesPerIncarnation + entry);
 }
 
 CallRecord &
-RequestWorld::ask(std::size_t i, const std::string &name,
-                  const std::function<void(CallerRequest &)> &change) {
+RequestWorld::sendRequest(std::size_t i, const std::string &name,
+                          const std::function<void(CallerRequest &)> &change) {
   Entry &entry = Entries[i];
   CallerRequest request;
   request.Id = CallId(++entry.LastCall);
@@ -105,38 +107,41 @@
   record->Began = Scheduler.now();
   record->Deadline = Scheduler.now() + request.Deadline;
   CallRecord &out = *record;
-  entry.Open[request.Id] = record.get();
+  entry.OpenCalls[request.Id] = record.get();
   Calls.push_back(std::move(record));
   // A frozen entry receives the request when it resumes.
   TimePoint begin = std::max(Scheduler.now(), entry.FrozenUntil);
   out.Deadline = begin + request.Deadline;
-  Scheduler.at(begin, [this, i, life = entry.Life, request] {
-    if (Entries[i].Life == life)
-      apply(i, Entries[i].Node->onCall(request, Scheduler.now()));
-  });
+  Scheduler.at(begin,
+               [this, i, incarnation = entry.ProcessIncarnation, request] {
+                 if (Entries[i].ProcessIncarnation == incarnation)
+                   apply(i, Entries[i].Node->onCall(request, Scheduler.now()));
+               });
   return out;
 }
 
 void RequestWorld::killEntry(std::size_t i) {
   Entry &entry = Entries[i];
-  for (auto &[id, record] : entry.Open) {
-    record->IsCut = true;
+  for (auto &[id, record] : entry.OpenCalls) {
+    record->IsAborted = true;
     record->Ended = Scheduler.now();
   }
-  entry.Open.clear();
-  LinkId link = linkOf(i, entry.Life);
+  entry.OpenCalls.clear();
+  LinkId link = linkOf(i, entry.ProcessIncarnation);
   for (std::size_t k = 0; k < Agents.size(); ++k)
-    toAgent(k, Agents[k].Life, [this, link](AgentNode &node) {
-      return node.onLinkDown(link, Scheduler.now());
-    });
+    deliverToAgent(k, Agents[k].ProcessIncarnation,
+                   [this, link](AgentNode &node) {
+                     return node.onLinkDown(link, Scheduler.now());
+                   });
   startEntry(i);
 }
 
 void RequestWorld::killAgent(std::size_t i) {
   for (std::size_t k = 0; k < Entries.size(); ++k)
-    toEntry(k, Entries[k].Life, [this, i](EntryNode &node) {
-      return node.onLinkDown(Agents[i].Id, Scheduler.now());
-    });
+    deliverToEntry(k, Entries[k].ProcessIncarnation,
+                   [this, i](EntryNode &node) {
+                     return node.onLinkDown(Agents[i].Id, Scheduler.now());
+                   });
   startAgent(i);
 }
 
@@ -148,7 +153,7 @@
   Entry &entry = Entries[i];
   entry.FrozenUntil = std::max(entry.FrozenUntil, Scheduler.now() + span);
   // Callers get no response before the entry resumes.
-  for (auto &[id, record] : entry.Open)
+  for (auto &[id, record] : entry.OpenCalls)
     record->Deadline = std::max(record->Deadline, entry.FrozenUntil);
 }
 
@@ -160,47 +165,50 @@
     agent.LeavingSince = Scheduler.now();
   // The agent sees the state of the host list at the time that it reads the
   // list.
-  toAgent(i, agent.Life, [this, i](AgentNode &node) {
+  deliverToAgent(i, agent.ProcessIncarnation, [this, i](AgentNode &node) {
     return node.setLeaving(Agents[i].LeavingSince.has_value(), Scheduler.now());
   });
 }
 
 void RequestWorld::cutLink(std::size_t i, std::size_t k) {
-  toEntry(i, Entries[i].Life, [this, k](EntryNode &node) {
+  deliverToEntry(i, Entries[i].ProcessIncarnation, [this, k](EntryNode &node) {
     return node.onLinkDown(Agents[k].Id, Scheduler.now());
   });
-  LinkId link = linkOf(i, Entries[i].Life);
-  toAgent(k, Agents[k].Life, [this, link](AgentNode &node) {
-    return node.onLinkDown(link, Scheduler.now());
-  });
+  LinkId link = linkOf(i, Entries[i].ProcessIncarnation);
+  deliverToAgent(k, Agents[k].ProcessIncarnation,
+                 [this, link](AgentNode &node) {
+                   return node.onLinkDown(link, Scheduler.now());
+                 });
 }
 
-void RequestWorld::toEntry(
-    std::size_t i, std::uint64_t life,
+void RequestWorld::deliverToEntry(
+    std::size_t i, std::uint64_t incarnation,
     const std::function<EntryActions(EntryNode &)> &input) {
-  Scheduler.soon([this, i, life, input] {
+  Scheduler.soon([this, i, incarnation, input] {
     Entry &entry = Entries[i];
-    if (entry.Life != life)
+    if (entry.ProcessIncarnation != incarnation)
       return;
     if (Scheduler.now() < entry.FrozenUntil) {
-      Scheduler.at(entry.FrozenUntil,
-                   [this, i, life, input] { toEntry(i, life, input); });
+      Scheduler.at(entry.FrozenUntil, [this, i, incarnation, input] {
+        deliverToEntry(i, incarnation, input);
+      });
       return;
     }
     apply(i, input(*entry.Node));
   });
 }
 
-void RequestWorld::toAgent(
-    std::size_t i, std::uint64_t life,
+void RequestWorld::deliverToAgent(
+    std::size_t i, std::uint64_t incarnation,
     const std::function<AgentActions(AgentNode &)> &input) {
-  Scheduler.soon([this, i, life, input] {
+  Scheduler.soon([this, i, incarnation, input] {
     Agent &agent = Agents[i];
-    if (agent.Life != life)
+    if (agent.ProcessIncarnation != incarnation)
       return;
     if (Scheduler.now() < agent.FrozenUntil) {
-      Scheduler.at(agent.FrozenUntil,
-                   [this, i, life, input] { toAgent(i, life, input); });
+      Scheduler.at(agent.FrozenUntil, [this, i, incarnation, input] {
+        deliverToAgent(i, incarnation, input);
+      });
       return;
     }
     apply(i, input(*agent.Node));
@@ -208,20 +216,20 @@
 }
 
 /// Runs the node's timer at \p due, or when a frozen node resumes.
-template <typename Machines>
-void RequestWorld::setTimer(Machines &machines, std::size_t i, TimePoint due) {
-  std::uint64_t life = machines[i].Life;
-  Scheduler.at(due, [this, &machines, i, life] {
+template <typename Nodes>
+void RequestWorld::setTimer(Nodes &nodes, std::size_t i, TimePoint due) {
+  std::uint64_t incarnation = nodes[i].ProcessIncarnation;
+  Scheduler.at(due, [this, &nodes, i, incarnation] {
     TimePoint now = Scheduler.now();
-    if (machines[i].Life != life)
+    if (nodes[i].ProcessIncarnation != incarnation)
       return;
-    if (now < machines[i].FrozenUntil) {
-      setTimer(machines, i, machines[i].FrozenUntil);
+    if (now < nodes[i].FrozenUntil) {
+      setTimer(nodes, i, nodes[i].FrozenUntil);
       return;
     }
-    auto next = machines[i].Node->nextTimer();
+    auto next = nodes[i].Node->nextTimer();
     if (next && *next <= now)
-      apply(i, machines[i].Node->onTimer(now));
+      apply(i, nodes[i].Node->onTimer(now));
   });
 }
 
@@ -241,39 +249,40 @@
 
 void RequestWorld::perform(std::size_t i, const SendToAgent &action) {
   std::size_t k = agentOf(action.To);
-  LinkId link = linkOf(i, Entries[i].Life);
+  LinkId link = linkOf(i, Entries[i].ProcessIncarnation);
   // The message reaches the agent's incarnation at the time of arrival.
   Scheduler.unreliably(Rates.Message, [this, k, link, body = action.Body] {
-    toAgent(k, Agents[k].Life, [this, link, body](AgentNode &node) {
-      return node.onMessage(link, body, Scheduler.now());
-    });
+    deliverToAgent(k, Agents[k].ProcessIncarnation,
+                   [this, link, body](AgentNode &node) {
+                     return node.onMessage(link, body, Scheduler.now());
+                   });
   });
 }
 
 void RequestWorld::perform(std::size_t i, const SendToLink &action) {
-  std::size_t k = action.To.get() % EntriesPerLife;
-  std::uint64_t life = action.To.get() / EntriesPerLife;
+  std::size_t k = action.To.get() % EntriesPerIncarnation;
+  std::uint64_t incarnation = action.To.get() / EntriesPerIncarnation;
   EndpointId from = Agents[i].Id;
-  Scheduler.unreliably(Rates.Message,
-                       [this, k, life, from, body = action.Body] {
-                         toEntry(k, life, [this, from, body](EntryNode &node) {
-                           return node.onMessage(from, body, Scheduler.now());
-                         });
-                       });
+  Scheduler.unreliably(
+      Rates.Message, [this, k, incarnation, from, body = action.Body] {
+        deliverToEntry(k, incarnation, [this, from, body](EntryNode &node) {
+          return node.onMessage(from, body, Scheduler.now());
+        });
+      });
 }
 
 void RequestWorld::perform(std::size_t i, const CallPlatform &action) {
-  std::uint64_t life = Entries[i].Life;
+  std::uint64_t incarnation = Entries[i].ProcessIncarnation;
   KvCallId id = action.Request.Id;
-  auto reply = [this, i, life, id](const KvReply &it) {
-    toEntry(i, life, [this, id, it](EntryNode &node) {
+  auto reply = [this, i, incarnation, id](const KvReply &it) {
+    deliverToEntry(i, incarnation, [this, id, it](EntryNode &node) {
       return node.onKvReply(id, it, Scheduler.now());
     });
   };
   KvReply lost;
   lost.Code = ResultCode::PlatformTimeout;
-  bool isOut = Scheduler.now() < OutageUntil;
-  if (isOut || Scheduler.chance(Rates.Platform)) {
+  bool isOutage = Scheduler.now() < OutageUntil;
+  if (isOutage || Scheduler.chance(Rates.Platform)) {
     // The request or its reply is lost; the request may still take effect, and
     // late.
     if (Scheduler.chance(50))
@@ -293,7 +302,7 @@
 void RequestWorld::perform(std::size_t /*i*/, const AnswerHead & /*head*/) {}
 
 void RequestWorld::perform(std::size_t i, const AnswerData &action) {
-  Entries[i].Open.at(action.Call)->Body += action.Data;
+  Entries[i].OpenCalls.at(action.Call)->Body += action.Data;
 }
 
 void RequestWorld::perform(std::size_t i, const AnswerEnd &action) {
@@ -305,26 +314,26 @@
 }
 
 void RequestWorld::perform(std::size_t i, const AnswerTicket &action) {
-  Entries[i].Open.at(action.Call)->Given = action.Permit;
+  Entries[i].OpenCalls.at(action.Call)->IssuedTicket = action.Permit;
   end(i, action.Call, ResultCode::Ok);
 }
 
 void RequestWorld::end(std::size_t i, CallId id, ResultCode code) {
-  CallRecord &record = *Entries[i].Open.at(id);
+  CallRecord &record = *Entries[i].OpenCalls.at(id);
   record.Ended = Scheduler.now();
   record.Code = code;
-  Entries[i].Open.erase(id);
+  Entries[i].OpenCalls.erase(id);
 }
 
 void RequestWorld::perform(std::size_t i, const StartRun &action) {
   auto since = Agents[i].LeavingSince;
   if (since && Scheduler.now() > *since + LeavingGrace)
     ++LateStarts;
-  std::uint64_t life = Agents[i].Life;
+  std::uint64_t incarnation = Agents[i].ProcessIncarnation;
   RequestId id = action.Id;
   bool isDown = Scheduler.now() < Agents[i].DownUntil;
   if (isDown || Scheduler.chance(Rates.Endpoint)) {
-    toAgent(i, life, [this, id](AgentNode &node) {
+    deliverToAgent(i, incarnation, [this, id](AgentNode &node) {
       return node.onRunEnd(id, ResultCode::EndpointUnreachable,
                            Scheduler.now());
     });
@@ -334,50 +343,57 @@
   std::uint64_t from = action.ResumeFrom;
   std::uint64_t engine = Agents[i].Engine;
   Agents[i].Runs.insert(id);
-  Scheduler.soon([this, i, life, engine, id, from, name = action.Body] {
+  Scheduler.soon([this, i, incarnation, engine, id, from, name = action.Body] {
     if (Agents[i].Engine != engine)
       return;
     Runs.push_back({name, Scheduler.now()});
     if (!Deadly.empty() && name == Deadly) {
-      ++DeadlyEnds;
-      endEngine(i);
+      ++DeadlyCrashes;
+      crashEngine(i);
       return;
     }
-    toAgent(i, life, [this, i, life, engine, id, from, name](AgentNode &node) {
-      AgentActions out = node.onRunHead(id, 200, "text/plain", Scheduler.now());
-      stepRun(i, life, engine, id, expectedBody(name).substr(from));
-      return out;
-    });
+    deliverToAgent(
+        i, incarnation,
+        [this, i, incarnation, engine, id, from, name](AgentNode &node) {
+          AgentActions out =
+              node.onRunHead(id, 200, "text/plain", Scheduler.now());
+          continueRun(i, incarnation, engine, id,
+                      expectedBody(name).substr(from));
+          return out;
+        });
   });
 }
 
-void RequestWorld::endEngine(std::size_t i) {
+void RequestWorld::crashEngine(std::size_t i) {
   Agent &agent = Agents[i];
   ++agent.Engine;
-  agent.DownUntil = Scheduler.now() + DownTime;
+  agent.DownUntil = Scheduler.now() + EngineDowntime;
   for (RequestId id : std::exchange(agent.Runs, {}))
-    toAgent(i, agent.Life, [this, id](AgentNode &node) {
+    deliverToAgent(i, agent.ProcessIncarnation, [this, id](AgentNode &node) {
       return node.onRunEnd(id, ResultCode::EndpointFailed, Scheduler.now());
     });
 }
 
-void RequestWorld::stepRun(std::size_t i, std::uint64_t life,
-                           std::uint64_t engine, RequestId id,
-                           const std::string &rest) {
-  toAgent(i, life, [this, i, life, engine, id, rest](AgentNode &node) {
-    if (Agents[i].Engine != engine)
-      return AgentActions();
-    if (rest.empty()) {
-      Agents[i].Runs.erase(id);
-      return node.onRunEnd(id, ResultCode::Ok, Scheduler.now());
-    }
-    if (Scheduler.chance(Rates.Endpoint))
-      return node.onRunEnd(id, ResultCode::EndpointFailed, Scheduler.now());
-    std::size_t n = 1 + Scheduler.below(rest.size());
-    AgentActions out = node.onRunData(id, rest.substr(0, n), Scheduler.now());
-    stepRun(i, life, engine, id, rest.substr(n));
-    return out;
-  });
+void RequestWorld::continueRun(std::size_t i, std::uint64_t incarnation,
+                               std::uint64_t engine, RequestId id,
+                               const std::string &rest) {
+  deliverToAgent(i, incarnation,
+                 [this, i, incarnation, engine, id, rest](AgentNode &node) {
+                   if (Agents[i].Engine != engine)
+                     return AgentActions();
+                   if (rest.empty()) {
+                     Agents[i].Runs.erase(id);
+                     return node.onRunEnd(id, ResultCode::Ok, Scheduler.now());
+                   }
+                   if (Scheduler.chance(Rates.Endpoint))
+                     return node.onRunEnd(id, ResultCode::EndpointFailed,
+                                          Scheduler.now());
+                   std::size_t n = 1 + Scheduler.below(rest.size());
+                   AgentActions out =
+                       node.onRunData(id, rest.substr(0, n), Scheduler.now());
+                   continueRun(i, incarnation, engine, id, rest.substr(n));
+                   return out;
+                 });
 }
 
 void RequestWorld::perform(std::size_t /*i*/, const StopRun & /*action*/) {}
--- a/unittests/Routing/RequestWorld.h
+++ b/unittests/Routing/RequestWorld.h
@@ -31,10 +31,10 @@
   TimePoint Deadline;
   std::optional<TimePoint> Ended;
   /// Whether the entry that held the call was killed.
-  bool IsCut = false;
+  bool IsAborted = false;
   ResultCode Code = ResultCode::Ok;
   std::string Body;
-  std::optional<Ticket> Given;
+  std::optional<Ticket> IssuedTicket;
 };
 
 /// One run at an endpoint.
@@ -69,8 +69,8 @@
   std::size_t LateStarts = 0;
 
   /// Sends the request \p name to \p entry. Returns its record in Calls.
-  CallRecord &ask(std::size_t entry, const std::string &name,
-                  const std::function<void(CallerRequest &)> &change);
+  CallRecord &sendRequest(std::size_t entry, const std::string &name,
+                          const std::function<void(CallerRequest &)> &change);
 
   void killEntry(std::size_t i);
   void killAgent(std::size_t i);
@@ -83,10 +83,10 @@
   /// From now on each engine that runs \p name crashes.
   void setDeadly(const std::string &name) { Deadly = name; }
   /// Crashes the engine of endpoint \p i with all its runs. The engine restarts
-  /// after DownTime; the agent keeps running and detects the crash.
-  void endEngine(std::size_t i);
+  /// after EngineDowntime; the agent keeps running and detects the crash.
+  void crashEngine(std::size_t i);
   /// Number of engines that the deadly request crashed.
-  unsigned deadlyEnds() const { return DeadlyEnds; }
+  unsigned deadlyCrashes() const { return DeadlyCrashes; }
   void setOutage(Duration span) { OutageUntil = Scheduler.now() + span; }
 
   /// Returns the complete response to \p name.
@@ -95,15 +95,15 @@
 private:
   struct Entry {
     std::unique_ptr<EntryNode> Node;
-    std::uint64_t Life = 0;
+    std::uint64_t ProcessIncarnation = 0;
     std::uint64_t LastCall = 0;
-    std::map<CallId, CallRecord *> Open;
+    std::map<CallId, CallRecord *> OpenCalls;
     TimePoint FrozenUntil;
   };
   struct Agent {
     EndpointId Id;
     std::unique_ptr<AgentNode> Node;
-    std::uint64_t Life = 0;
+    std::uint64_t ProcessIncarnation = 0;
     TimePoint FrozenUntil;
     std::optional<TimePoint> LeavingSince;
     /// The engine's incarnation, its runs, and the end of its downtime.
@@ -114,13 +114,13 @@
   void startEntry(std::size_t i);
   void startAgent(std::size_t i);
   std::size_t agentOf(const EndpointId &id) const;
-  LinkId linkOf(std::size_t entry, std::uint64_t life) const;
-  void toEntry(std::size_t i, std::uint64_t life,
-               const std::function<EntryActions(EntryNode &)> &input);
-  void toAgent(std::size_t i, std::uint64_t life,
-               const std::function<AgentActions(AgentNode &)> &input);
-  template <typename Machines>
-  void setTimer(Machines &machines, std::size_t i, TimePoint due);
+  LinkId linkOf(std::size_t entry, std::uint64_t incarnation) const;
+  void deliverToEntry(std::size_t i, std::uint64_t incarnation,
+                      const std::function<EntryActions(EntryNode &)> &input);
+  void deliverToAgent(std::size_t i, std::uint64_t incarnation,
+                      const std::function<AgentActions(AgentNode &)> &input);
+  template <typename Nodes>
+  void setTimer(Nodes &nodes, std::size_t i, TimePoint due);
   void apply(std::size_t i, const EntryActions &actions);
   void apply(std::size_t i, const AgentActions &actions);
   void perform(std::size_t i, const SendToAgent &action);
@@ -134,8 +134,8 @@
   void perform(std::size_t i, const StartRun &action);
   void perform(std::size_t i, const StopRun &action);
   void end(std::size_t i, CallId id, ResultCode code);
-  void stepRun(std::size_t agent, std::uint64_t life, std::uint64_t engine,
-               RequestId id, const std::string &rest);
+  void continueRun(std::size_t agent, std::uint64_t incarnation,
+                   std::uint64_t engine, RequestId id, const std::string &rest);
   KvReply callKv(const KvCall &call);
 
   FaultRates Rates;
@@ -145,10 +145,10 @@
   std::vector<Entry> Entries;
   std::vector<Agent> Agents;
   FakeKeyValue Kv;
-  std::uint64_t LastLife = 0;
+  std::uint64_t LastIncarnation = 0;
   TimePoint OutageUntil;
   std::string Deadly;
-  unsigned DeadlyEnds = 0;
+  unsigned DeadlyCrashes = 0;
 };
 
 } // namespace ospreyspur::test
