--- a/include/ospreyspur/Ledger/StoredAnswer.h
+++ b/include/ospreyspur/Ledger/StoredResponse.h
@@ -1,12 +1,12 @@
-//===- StoredAnswer.h - an endpoint's answer, kept by the agent -*- C++ -*-===//
+//===- StoredResponse.h - a response stored by the agent --------*- C++ -*-===//
 //
-// Holds an answer while it grows and after it ended, so that an entry that
-// attaches late gets all of it.
+// Holds an endpoint's response during the run and afterwards, so that an entry
+// that attaches late receives the complete response.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_LEDGER_STOREDANSWER_H
-#define OSPREYSPUR_LEDGER_STOREDANSWER_H
+#ifndef OSPREYSPUR_LEDGER_STOREDRESPONSE_H
+#define OSPREYSPUR_LEDGER_STOREDRESPONSE_H
 
 #include "ospreyspur/Support/Ids.h"
 #include "ospreyspur/Support/ResultCode.h"
@@ -16,8 +16,8 @@
 
 namespace ospreyspur {
 
-/// The answer of one run.
-struct StoredAnswer {
+/// The response of one run.
+struct StoredResponse {
   bool HasHead = false;
   std::uint32_t Status = 0;
   std::string ContentType;
@@ -28,8 +28,8 @@
   /// Whether the body was dropped to save memory.
   bool Dropped = false;
   ResultCode Code = ResultCode::Ok;
-  /// Which of the endpoint's lives ran it.
-  EngineLife Life;
+  /// The endpoint's incarnation that ran the request.
+  EngineLife EndpointIncarnation;
 
   /// The offset just after the last byte.
   std::uint64_t end() const { return BaseOffset + Body.size(); }
@@ -37,4 +37,4 @@
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_LEDGER_STOREDANSWER_H
+#endif // OSPREYSPUR_LEDGER_STOREDRESPONSE_H
--- a/lib/Routing/EntryCrashes.cpp
+++ b/lib/Routing/EntryCrashes.cpp
@@ -1,7 +1,8 @@
-//===- EntryCrashes.cpp - requests that end endpoints, at an entry --------===//
+//===- EntryCrashes.cpp - requests that crash endpoints, at an entry ------===//
 //
-// The part of EntryNode that attributes ended endpoints to requests, isolates
-// suspects, and replicates both to the other entries through relays.
+// The part of EntryNode that attributes endpoint crashes to requests, isolates
+// suspect requests, and replicates crashes and suspect runs to the other
+// entries through relays.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,14 +13,14 @@
 
 using namespace ospreyspur;
 
-/// Upper bound of the random backoff before a suspect with several crashes is
-/// sent; many times a relay's latency.
-static constexpr Duration BackoffSpread = std::chrono::milliseconds(200);
-/// Most runs in one report.
-static constexpr std::size_t MaxToldRuns = 64;
+/// Upper bound of the random backoff before a suspect request with several
+/// crashes is dispatched. The bound is many times a relay's latency.
+static constexpr Duration MaxSuspectBackoff = std::chrono::milliseconds(200);
+/// Maximum number of suspect runs in one report.
+static constexpr std::size_t MaxReportedRuns = 64;
 
-/// Identifies an endpoint's life across entries.
-static LifeDigest lifeOf(const EndpointId &endpoint, const Finish &msg) {
+/// Returns a digest that identifies an endpoint's incarnation at all entries.
+static LifeDigest incarnationOf(const EndpointId &endpoint, const Finish &msg) {
   return digestLife(EndpointId(endpoint.get() + '/' +
                                std::to_string(msg.Id.Issuer.get()) + '/' +
                                std::to_string(msg.Life.get())));
@@ -30,7 +31,7 @@
   const EndpointId &endpoint = call.Permit->Endpoint;
   const ServiceView *service = findService(call);
   Duration ran = now - call.SentAt;
-  Crashes.onCrash(request, lifeOf(endpoint, msg), ran,
+  Crashes.onCrash(request, incarnationOf(endpoint, msg), ran,
                   service ? service->Endpoints.size() : 1, now);
   CrashNotes.push_back({request, std::to_string(call.Request.Id.get()),
                         endpoint, ran, Crashes.crashesOf(request),
@@ -40,8 +41,8 @@
   judgeCrashes(now);
 }
 
-/// Judgement waits for the reports of the other entries; a lone entry has none
-/// to wait for.
+/// Decides which suspect requests to quarantine. The decision waits for the
+/// reports of other entries, except at an entry that knows of no other.
 void EntryNode::judgeCrashes(TimePoint now) {
   bool isAlone = Reporter.entryCount(now) == 1;
   for (RequestDigest it :
@@ -51,10 +52,11 @@
   }
 }
 
-void EntryNode::quarantine(RequestDigest request, bool isTold, TimePoint now) {
+void EntryNode::quarantine(RequestDigest request, bool isFromPeer,
+                           TimePoint now) {
   CrashNotes.push_back(
       {request, "", EndpointId(), Duration(), Crashes.crashesOf(request),
-       Crashes.chanceOf(request, now), CrashStanding::Quarantined, isTold});
+       Crashes.chanceOf(request, now), CrashStanding::Quarantined, isFromPeer});
   endQuarantined(request);
 }
 
@@ -65,11 +67,11 @@
   for (const auto &[id, call] : Calls) {
     if (call.Request.Digest != request)
       continue;
-    bool isOut = call.Stage == CallStage::Dispatched ||
-                 call.Stage == CallStage::Accepted;
+    bool isInFlight = call.Stage == CallStage::Dispatched ||
+                      call.Stage == CallStage::Accepted;
     bool isUnsent =
         call.Stage == CallStage::Probing || call.Stage == CallStage::Deferred;
-    if (isUnsent || (isOut && mayRunElsewhere(call)))
+    if (isUnsent || (isInFlight && mayRunElsewhere(call)))
       ended.push_back(id);
   }
   for (CallId id : ended) {
@@ -98,18 +100,19 @@
   return Crashes.standingOf(call.Request.Digest) == CrashStanding::Quarantined;
 }
 
-/// Whether another run of the same suspect goes first: running them one at a
-/// time bounds the endpoints that are lost before it is quarantined. From the
-/// second crash on a random backoff keeps entries from starting at once.
+/// Whether the call must wait for another run of the same suspect request.
+/// Running a suspect request once at a time bounds the number of endpoints that
+/// it can crash before it is quarantined. From the second crash on, a random
+/// backoff keeps entries from dispatching it at the same time.
 bool EntryNode::mustDefer(Call &call, TimePoint now) {
   if (!isSuspect(call) || call.Request.WantsTicket)
     return false;
   RequestDigest request = call.Request.Digest;
   bool runsHere = std::any_of(Calls.begin(), Calls.end(), [&](const auto &it) {
     const Call &other = it.second;
-    bool isOut = other.Stage == CallStage::Dispatched ||
-                 other.Stage == CallStage::Accepted;
-    return isOut && it.first != call.Request.Id &&
+    bool isInFlight = other.Stage == CallStage::Dispatched ||
+                      other.Stage == CallStage::Accepted;
+    return isInFlight && it.first != call.Request.Id &&
            other.Request.Digest == request;
   });
   if (runsHere || Crashes.isSettling(request) ||
@@ -120,7 +123,8 @@
   if (Crashes.crashesOf(request) < 2 || Reporter.entryCount(now) == 1)
     return false;
   if (!call.NotBefore) {
-    std::uniform_int_distribution<Duration::rep> turn(0, BackoffSpread.count());
+    std::uniform_int_distribution<Duration::rep> turn(
+        0, MaxSuspectBackoff.count());
     call.NotBefore = now + Duration(turn(Random));
   }
   return now < *call.NotBefore;
@@ -135,10 +139,11 @@
   }
   call.Stage = CallStage::Deferred;
   call.Offers.clear();
-  touch(call, Limits.DeferPollInterval, now);
+  setStageTimer(call, Limits.DeferPollInterval, now);
 }
 
-/// Resumes a deferred call. A caller's ticket names its agent.
+/// Resumes a deferred call. A call with a caller's ticket needs no probing, as
+/// the ticket names its agent.
 void EntryNode::resume(Call &call, TimePoint now) {
   if (!call.Request.CallerTicket)
     startProbing(call, now);
@@ -148,8 +153,8 @@
     dispatch(call, now);
 }
 
-/// The endpoints that run other suspects: if one of them ended, its crash could
-/// not be attributed.
+/// Returns the endpoints that run other suspect requests. If such an endpoint
+/// crashed with both requests, the crash could not be attributed.
 std::set<LifeDigest> EntryNode::endpointsOfSuspects(const Call &call,
                                                     TimePoint now) const {
   if (!isSuspect(call))
@@ -161,17 +166,17 @@
   return out;
 }
 
-/// The suspects in flight. Only an agent knows its endpoint's current life, so
-/// the endpoint's id stands in for it.
+/// Returns the dispatched suspect requests. Only an agent knows its endpoint's
+/// current incarnation, so the digest of the endpoint's id replaces it here.
 std::vector<SuspectRun> EntryNode::suspectRuns() const {
   std::vector<SuspectRun> out;
   if (Crashes.isEmpty())
     return out;
   for (const auto &[id, call] : Calls) {
-    bool isOut = call.Stage == CallStage::Dispatched ||
-                 call.Stage == CallStage::Accepted ||
-                 call.Stage == CallStage::Resolving;
-    if (isOut && isSuspect(call) && out.size() < MaxToldRuns)
+    bool isInFlight = call.Stage == CallStage::Dispatched ||
+                      call.Stage == CallStage::Accepted ||
+                      call.Stage == CallStage::Resolving;
+    if (isInFlight && isSuspect(call) && out.size() < MaxReportedRuns)
       out.push_back({call.Request.Digest, digestLife(call.Permit->Endpoint)});
   }
   return out;
--- a/lib/Routing/EntryMessages.cpp
+++ b/lib/Routing/EntryMessages.cpp
@@ -21,12 +21,12 @@
 template <typename T>
 void EntryNode::handle(const EndpointId & /*from*/, const T & /*other*/,
                        TimePoint /*now*/) {
-  // Messages of other roles are not for an entry.
+  // Messages for other roles are ignored.
 }
 
 void EntryNode::handle(const EndpointId &from, const ProbeReply &reply,
                        TimePoint now) {
-  SuspectUntil.erase(from);
+  UnresponsiveUntil.erase(from);
   auto it = Calls.find(reply.Call);
   if (it == Calls.end() || it->second.Stage != CallStage::Probing)
     return;
@@ -45,15 +45,16 @@
   if (!call)
     return;
   call->Stage = CallStage::Accepted;
-  touch(*call, call->Deadline - now, now);
+  setStageTimer(*call, call->Deadline - now, now);
 }
 
-/// The present dispatch ran or may have run, and gives no whole answer.
+/// Handles the end of a dispatch that ran or may have run without giving a
+/// complete response.
 void EntryNode::onRunFailed(Call &call, const Finish &msg, TimePoint now) {
   CallId id = call.Request.Id;
   if (msg.Code == ResultCode::EndpointFailed)
     noteCrash(call, msg, now);
-  // The end may have been the one that quarantines the request.
+  // This crash may have quarantined the request and ended the call.
   if (!Calls.contains(id))
     return;
   if (!mayRunElsewhere(call)) {
@@ -61,7 +62,7 @@
     return;
   }
   call.MayHaveRun = true;
-  moveElsewhere(call, msg.Code, now);
+  retryElsewhere(call, msg.Code, now);
 }
 
 void EntryNode::handle(const EndpointId & /*from*/, const Refused &msg,
@@ -71,7 +72,7 @@
     return;
   call->RetryAfter = std::max(call->RetryAfter, msg.RetryAfter);
   if (describe(msg.Code).Kind == Outcome::NotRun) {
-    moveElsewhere(*call, msg.Code, now);
+    retryElsewhere(*call, msg.Code, now);
     return;
   }
   onRunFailed(*call, Finish{msg.Id, msg.Attempt, 0, msg.Code, {}}, now);
@@ -82,12 +83,12 @@
   Call *call = findCurrent(msg.Id, msg.Attempt);
   if (!call)
     return;
-  touch(*call, Limits.StallTimeout, now);
+  setStageTimer(*call, Limits.StallTimeout, now);
   if (call->HasHead)
     return;
   call->HasHead = true;
   Out.push_back(AnswerHead{call->Request.Id, msg.Status, msg.ContentType});
-  passOn(*call, now);
+  forwardResponse(*call, now);
 }
 
 void EntryNode::handle(const EndpointId & /*from*/, const Chunk &msg,
@@ -95,23 +96,24 @@
   Call *call = findCurrent(msg.Id, msg.Attempt);
   if (!call)
     return;
-  touch(*call, Limits.StallTimeout, now);
-  call->Unsent += call->Answer.add(msg.Attempt, msg.Offset, msg.Data);
-  if (call->Answer.earlyBytes() > Limits.MaxEarlyBytes) {
+  setStageTimer(*call, Limits.StallTimeout, now);
+  call->Unsent += call->Response.add(msg.Attempt, msg.Offset, msg.Data);
+  if (call->Response.earlyBytes() > Limits.MaxEarlyBytes) {
     loseContact(*call, now);
     return;
   }
-  passOn(*call, now);
+  forwardResponse(*call, now);
 }
 
-/// Gives the caller what is in order, and the end if that was reached.
-void EntryNode::passOn(Call &call, TimePoint now) {
+/// Sends the caller all in-order bytes, and finishes the call if the response
+/// is complete.
+void EntryNode::forwardResponse(Call &call, TimePoint now) {
   if (!call.HasHead)
     return;
   if (!call.Unsent.empty())
     Out.push_back(AnswerData{call.Request.Id, std::exchange(call.Unsent, {})});
-  if (call.Answer.isComplete())
-    finishWhole(call, now);
+  if (call.Response.isComplete())
+    finishComplete(call, now);
 }
 
 void EntryNode::handle(const EndpointId & /*from*/, const Finish &msg,
@@ -120,8 +122,8 @@
   if (!call)
     return;
   if (msg.Code == ResultCode::Ok) {
-    call->Answer.setLength(msg.Attempt, msg.Length);
-    passOn(*call, now);
+    call->Response.setLength(msg.Attempt, msg.Length);
+    forwardResponse(*call, now);
     return;
   }
   onRunFailed(*call, msg, now);
@@ -142,7 +144,7 @@
       dispatch(call, now);
       break;
     case RunState::NeverStarts:
-      moveElsewhere(call, ResultCode::TicketVoid, now);
+      retryElsewhere(call, ResultCode::TicketVoid, now);
       break;
     case RunState::CannotTell:
       finishWith(call, ResultCode::IncarnationGone);
@@ -165,9 +167,9 @@
   auto [first, last] = CallsByRequest.equal_range(id);
   for (auto it = first; it != last; ++it) {
     Call &call = Calls.at(it->second);
-    bool isOut = call.Stage == CallStage::Dispatched ||
-                 call.Stage == CallStage::Accepted;
-    if (isOut && call.Attempt == attempt)
+    bool isInFlight = call.Stage == CallStage::Dispatched ||
+                      call.Stage == CallStage::Accepted;
+    if (isInFlight && call.Attempt == attempt)
       return &call;
   }
   return nullptr;
--- a/unittests/Routing/EndedEngineTest.cpp
+++ b/unittests/Routing/EndedEngineTest.cpp
@@ -1,9 +1,9 @@
-//===- EndedEngineTest.cpp - engines that end, through agents -------------===//
+//===- EndedEngineTest.cpp - engine crashes on the path through agents ----===//
 //
-// Several entries and agents on virtual time. Seen: on the path through agents
-// one request that ends whoever runs it ended an engine each time it was sent.
-// Cause: an entry kept nothing of a failed run, an agent could not tell the end
-// of its engine from a cut answer, and entries told each other nothing.
+// Several entries and agents on virtual time. Guards against a request that
+// crashes an engine each time it is sent. This happens if an entry keeps no
+// record of failed runs, if an agent cannot distinguish a crash of its engine
+// from a truncated response, or if entries do not share crash reports.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,12 +18,14 @@
 
 namespace {
 constexpr unsigned Seeds = 20;
-/// Three before it can be known, three more while the news travels.
-constexpr unsigned MostEnds = 6;
+/// Three crashes before the request can be quarantined, and three more while
+/// the crash reports propagate.
+constexpr unsigned MaxCrashes = 6;
 constexpr std::size_t EntryCount = 3;
 constexpr std::size_t AgentCount = 12;
 
-/// A world whose messages arrive, with requests that may be repeated.
+/// A deployment with a deadly request and, by default, no faults; all requests
+/// may run more than once.
 class EngineWorld : public RequestWorld {
 public:
   explicit EngineWorld(std::uint64_t seed, FaultRates rates = {0, 0, 0, 0})
@@ -32,21 +34,22 @@
     setDeadly("deadly");
   }
 
-  /// Callers ask for \p name every \p pause until \p end, at entry after entry.
-  void askOften(const std::string &name, Duration pause, TimePoint end) {
+  /// Sends the request \p name every \p pause until \p end, to the entries in
+  /// turn.
+  void sendRepeatedly(const std::string &name, Duration pause, TimePoint end) {
     std::size_t n = 0;
     for (TimePoint at = Scheduler.now(); at < end; at += pause, ++n)
       Scheduler.at(at, [this, name, n] {
         bool isDeadly = name == "deadly";
-        ask(n % EntryCount, isDeadly ? name : name + std::to_string(n),
-            [](CallerRequest &it) { it.IsRepeatable = true; });
+        sendRequest(n % EntryCount, isDeadly ? name : name + std::to_string(n),
+                    [](CallerRequest &it) { it.IsRepeatable = true; });
       });
   }
 
   unsigned countCode(ResultCode code, bool ofDeadly) const {
     unsigned n = 0;
     for (const auto &it : Calls)
-      n += it->Ended && !it->IsCut && it->Code == code &&
+      n += it->Ended && !it->IsAborted && it->Code == code &&
                    (it->Name == "deadly") == ofDeadly
                ? 1
                : 0;
@@ -62,17 +65,18 @@
 };
 } // namespace
 
-TEST_CASE("through agents, copies at several entries end a few engines only") {
+TEST_CASE("through agents, copies of a deadly request at several entries crash "
+          "only a few engines") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     EngineWorld world(seed);
     TimePoint begin = world.Scheduler.now();
     world.Scheduler.runUntil(begin + milliseconds(200));
-    world.askOften("deadly", milliseconds(70), begin + seconds(8));
-    world.askOften("innocent", milliseconds(30), begin + seconds(8));
+    world.sendRepeatedly("deadly", milliseconds(70), begin + seconds(8));
+    world.sendRepeatedly("innocent", milliseconds(30), begin + seconds(8));
     world.Scheduler.runUntil(begin + seconds(14));
-    CHECK(world.deadlyEnds() >= 1);
-    CHECK(world.deadlyEnds() <= MostEnds);
+    CHECK(world.deadlyCrashes() >= 1);
+    CHECK(world.deadlyCrashes() <= MaxCrashes);
     CHECK(world.countCode(ResultCode::Ok, true) == 0);
     CHECK(world.countCode(ResultCode::RequestQuarantined, true) > 0);
     CHECK(world.countCode(ResultCode::RequestQuarantined, false) == 0);
@@ -81,20 +85,21 @@
   }
 }
 
-TEST_CASE("through agents, what ends engines is known when entries begin anew "
-          "without the store") {
+TEST_CASE("through agents, restarted entries run no deadly request while the "
+          "key-value store is unavailable") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     EngineWorld world(seed);
     TimePoint begin = world.Scheduler.now();
     world.setOutage(seconds(60));
     world.Scheduler.runUntil(begin + milliseconds(200));
-    world.askOften("deadly", milliseconds(70), begin + seconds(12));
+    world.sendRepeatedly("deadly", milliseconds(70), begin + seconds(12));
     world.Scheduler.runUntil(begin + seconds(3));
-    unsigned before = world.deadlyEnds();
+    unsigned before = world.deadlyCrashes();
     CHECK(before >= 1);
-    CHECK(before <= MostEnds);
-    // One by one, all at once, and two relays beside them.
+    CHECK(before <= MaxCrashes);
+    // Kill the entries one by one, then all at once, then one together with two
+    // relays.
     for (std::size_t i = 0; i < EntryCount; ++i) {
       world.killEntry(i);
       world.Scheduler.runUntil(world.Scheduler.now() + milliseconds(400));
@@ -106,19 +111,19 @@
     world.killAgent(world.Scheduler.below(AgentCount));
     world.killEntry(0);
     world.Scheduler.runUntil(begin + seconds(15));
-    CHECK(world.deadlyEnds() == before);
+    CHECK(world.deadlyCrashes() == before);
   }
 }
 
-TEST_CASE("through agents, a few engines end while entries are killed and cut "
-          "off") {
+TEST_CASE("through agents, a deadly request crashes only a few engines while "
+          "entries are killed and disconnected") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     EngineWorld world(seed, {0, 15, 0, 2});
     TimePoint begin = world.Scheduler.now();
     world.Scheduler.runUntil(begin + milliseconds(200));
-    world.askOften("deadly", milliseconds(110), begin + seconds(10));
-    world.askOften("innocent", milliseconds(40), begin + seconds(10));
+    world.sendRepeatedly("deadly", milliseconds(110), begin + seconds(10));
+    world.sendRepeatedly("innocent", milliseconds(40), begin + seconds(10));
     for (unsigned k = 0; k < 12; ++k) {
       TimePoint at = begin + milliseconds(300 + 700 * k);
       world.Scheduler.at(at, [&world, k] {
@@ -140,28 +145,27 @@
       });
     }
     world.Scheduler.runUntil(begin + seconds(16));
-    CHECK(world.deadlyEnds() <= MostEnds);
+    CHECK(world.deadlyCrashes() <= MaxCrashes);
     CHECK(world.countCode(ResultCode::RequestQuarantined, false) == 0);
   }
 }
 
-TEST_CASE("through agents, no request is refused because engines end in "
-          "waves") {
+TEST_CASE("through agents, unrelated engine crashes quarantine no request") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     EngineWorld world(seed);
     TimePoint begin = world.Scheduler.now();
     world.Scheduler.runUntil(begin + milliseconds(200));
-    world.askOften("innocent", milliseconds(15), begin + seconds(8));
-    // The same request again and again, as from a caller who polls.
+    world.sendRepeatedly("innocent", milliseconds(15), begin + seconds(8));
+    // The same request repeatedly, as from a polling caller.
     for (unsigned k = 0; k < 300; ++k)
       world.Scheduler.at(begin + milliseconds(200 + 25 * k), [&world, k] {
-        world.ask(k % EntryCount, "poll",
-                  [](CallerRequest &it) { it.IsRepeatable = true; });
+        world.sendRequest(k % EntryCount, "poll",
+                          [](CallerRequest &it) { it.IsRepeatable = true; });
       });
     for (unsigned k = 0; k < 24; ++k)
       world.Scheduler.at(begin + milliseconds(400 + 300 * k), [&world] {
-        world.endEngine(world.Scheduler.below(AgentCount));
+        world.crashEngine(world.Scheduler.below(AgentCount));
       });
     world.Scheduler.runUntil(begin + seconds(14));
     CHECK(world.countCode(ResultCode::RequestQuarantined, false) == 0);
--- a/unittests/Routing/FailingRunTest.cpp
+++ b/unittests/Routing/FailingRunTest.cpp
@@ -1,8 +1,7 @@
-//===- FailingRunTest.cpp - a request whose runs end its endpoints --------===//
+//===- FailingRunTest.cpp - a request that crashes its endpoints ----------===//
 //
-// On the path through agents: each engine that runs one request ends, and its
-// agent says that the endpoint failed while it ran it. The request comes again
-// and again.
+// On the path through agents: a request crashes each engine that runs it, the
+// agents report EndpointFailed, and the caller sends the request repeatedly.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,11 +14,11 @@
 using std::chrono::seconds;
 
 namespace {
-/// An entry before agents each of which offers at once, and whose engine ends
-/// under whatever it is given.
-class EndingAgents {
+/// An entry whose agents offer capacity at once and whose engines crash on
+/// every request.
+class CrashingEndpoints {
 public:
-  explicit EndingAgents(unsigned endpoints)
+  explicit CrashingEndpoints(unsigned endpoints)
       : Entry(DataCentreId("d"), EntryLimits(), 1) {
     auto snapshot = std::make_shared<RoutingSnapshot>();
     for (unsigned i = 0; i < endpoints; ++i)
@@ -33,45 +32,45 @@
     Entry.setSnapshot(snapshot);
   }
 
-  /// Sends the request and lets it take its course. Returns how it ended.
+  /// Sends the request, runs the call to its end and returns the result.
   ResultCode call() {
     CallerRequest request;
     request.Id = CallId(++LastCall);
     request.Service = ServiceId("s");
-    request.Body = "ends whoever runs it";
+    request.Body = "crashes every engine";
     request.IsRepeatable = true;
     request.Deadline = seconds(8);
-    Told = ResultCode::Ok;
-    take(Entry.onCall(request, Now));
+    LastResult = ResultCode::Ok;
+    perform(Entry.onCall(request, Now));
     Now += seconds(2);
-    return Told;
+    return LastResult;
   }
 
   unsigned runs() const { return Runs; }
 
 private:
-  void take(const EntryActions &actions) {
+  void perform(const EntryActions &actions) {
     for (const EntryAction &it : actions) {
       if (const auto *sent = std::get_if<SendToAgent>(&it))
-        answer(*sent);
+        respond(*sent);
       if (const auto *error = std::get_if<AnswerError>(&it))
-        Told = error->Code;
+        LastResult = error->Code;
     }
   }
 
-  void answer(const SendToAgent &sent) {
+  void respond(const SendToAgent &sent) {
     if (const auto *probe = std::get_if<Probe>(&sent.Body)) {
       ProbeReply reply;
       reply.Call = probe->Call;
       reply.Permit.Endpoint = sent.To;
       reply.Permit.Id = {Incarnation(1), TicketSequence(++LastTicket)};
-      take(Entry.onMessage(sent.To, reply, Now));
+      perform(Entry.onMessage(sent.To, reply, Now));
     } else if (const auto *order = std::get_if<Dispatch>(&sent.Body)) {
       ++Runs;
-      take(Entry.onMessage(sent.To,
-                           Finish{order->Permit.Id, order->Attempt, 0,
-                                  ResultCode::EndpointFailed},
-                           Now));
+      perform(Entry.onMessage(sent.To,
+                              Finish{order->Permit.Id, order->Attempt, 0,
+                                     ResultCode::EndpointFailed},
+                              Now));
     }
   }
 
@@ -80,16 +79,18 @@
   std::uint64_t LastCall = 0;
   std::uint64_t LastTicket = 0;
   unsigned Runs = 0;
-  ResultCode Told = ResultCode::Ok;
+  ResultCode LastResult = ResultCode::Ok;
 };
 } // namespace
 
-/// Three before it can be known, three more while the news travels.
-static constexpr unsigned MostRuns = 6;
+/// Three runs before the request can be quarantined, and three more while the
+/// crash reports propagate.
+static constexpr unsigned MaxRuns = 6;
 
-TEST_CASE("through agents, a request that ends its endpoints is not sent on") {
-  EndingAgents world(32);
+TEST_CASE("through agents, a request that crashes its endpoints is run only a "
+          "few times") {
+  CrashingEndpoints world(32);
   for (unsigned i = 0; i < 12; ++i)
     CHECK(world.call() != ResultCode::Ok);
-  CHECK(world.runs() <= MostRuns);
+  CHECK(world.runs() <= MaxRuns);
 }
--- a/unittests/Routing/ProbePickerTest.cpp
+++ b/unittests/Routing/ProbePickerTest.cpp
@@ -1,6 +1,7 @@
 //===- ProbePickerTest.cpp - candidates and offers ------------------------===//
 //
-// Against plain restatements of the rules, on drawn fleets and offers.
+// Compares the picker with a direct implementation of the rules, on random
+// fleets and offers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,36 +16,39 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-static const DataCentreId nearPlace("near");
+static const DataCentreId nearDataCentre("near");
 static constexpr PickerWeights Weights{milliseconds(4), milliseconds(2)};
 
 static ServiceView makeService(std::size_t n) {
   ServiceView service;
   for (std::size_t i = 0; i < n; ++i)
-    service.Endpoints.push_back({EndpointId("e" + std::to_string(i)),
-                                 ServiceId("s"),
-                                 i % 3 == 0 ? nearPlace : DataCentreId("far"),
-                                 "",
-                                 {},
-                                 i % 7 == 6});
+    service.Endpoints.push_back(
+        {EndpointId("e" + std::to_string(i)),
+         ServiceId("s"),
+         i % 3 == 0 ? nearDataCentre : DataCentreId("far"),
+         "",
+         {},
+         i % 7 == 6});
   return service;
 }
 
-static bool acceptsAll(const EndpointId & /*id*/) { return false; }
+static bool excludesNone(const EndpointId & /*id*/) { return false; }
 
-TEST_CASE("candidates are distinct, stay, and come home first, then near") {
+TEST_CASE("candidates are distinct and not leaving, the home endpoint first, "
+          "then endpoints of the own data centre") {
   std::mt19937_64 random(1);
   for (std::size_t n = 0; n < 40; ++n) {
     ServiceView service = makeService(n);
     for (std::uint64_t prefix = 0; prefix < 20; ++prefix) {
       INFO("endpoints " << n << ", prefix " << prefix);
-      ProbePicker picker(3, Weights, nearPlace);
-      auto chosen = picker.pickCandidates(service, prefix, acceptsAll, random);
+      ProbePicker picker(3, Weights, nearDataCentre);
+      auto chosen =
+          picker.pickCandidates(service, prefix, excludesNone, random);
       std::size_t staying = 0;
       std::size_t near = 0;
       for (const EndpointView &it : service.Endpoints) {
         staying += !it.IsLeaving;
-        near += !it.IsLeaving && it.DataCentre == nearPlace;
+        near += !it.IsLeaving && it.DataCentre == nearDataCentre;
       }
       CHECK(chosen.size() == std::min<std::size_t>(3, staying));
       std::set<EndpointId> distinct(chosen.begin(), chosen.end());
@@ -55,14 +59,16 @@
         CHECK(chosen.front() == home->Id);
       std::size_t nearChosen = 0;
       for (const EndpointView &it : service.Endpoints)
-        nearChosen += it.DataCentre == nearPlace && distinct.contains(it.Id);
-      // All but the home are near, as long as there are enough near ones.
+        nearChosen +=
+            it.DataCentre == nearDataCentre && distinct.contains(it.Id);
+      // All candidates but the home endpoint are in the own data centre, as
+      // long as enough endpoints are there.
       CHECK(nearChosen + 1 >= std::min(near, chosen.size()));
     }
   }
 }
 
-TEST_CASE("a prompt's home moves only if its endpoint goes") {
+TEST_CASE("a prompt's home moves only if its endpoint is removed") {
   ServiceView all = makeService(30);
   for (std::uint64_t prefix = 1; prefix < 200; ++prefix) {
     const EndpointView *home = findPrefixHome(all, prefix);
@@ -75,11 +81,11 @@
   }
 }
 
-TEST_CASE("the cheapest accepting offer wins") {
+TEST_CASE("the cheapest accepting offer is picked") {
   std::mt19937_64 random(1);
   auto below = [&](std::uint64_t n) { return random() % n; };
   ServiceView service = makeService(10);
-  ProbePicker picker(3, Weights, nearPlace);
+  ProbePicker picker(3, Weights, nearDataCentre);
   for (int round = 0; round < 2000; ++round) {
     std::uint64_t prefix = below(5);
     const EndpointView *home = findPrefixHome(service, prefix);
--- a/unittests/Routing/RequestWorld.h
+++ b/unittests/Routing/RequestWorld.h
@@ -1,9 +1,9 @@
-//===- RequestWorld.h - entries, agents and faults in one process -*- C++
-//-*-===//
+//===- RequestWorld.h - a simulated deployment with faults ------*- C++ -*-===//
 //
 // Connects real EntryNodes and AgentNodes through a RandomScheduler that loses,
-// doubles and reorders messages, kills and freezes nodes and breaks the
-// platform, and records what callers were told and what endpoints ran.
+// duplicates and reorders messages. Kills and freezes nodes, makes the
+// key-value store fail, and records the results that callers received and the
+// runs at the endpoints.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,17 +24,17 @@
 
 namespace ospreyspur::test {
 
-/// One try of a caller.
+/// One call of a caller.
 struct CallRecord {
   std::string Name;
   TimePoint Began;
   TimePoint Deadline;
   std::optional<TimePoint> Ended;
-  /// Set if the entry that held the call was killed.
-  bool IsCut = false;
+  /// Whether the entry that held the call was killed.
+  bool IsAborted = false;
   ResultCode Code = ResultCode::Ok;
   std::string Body;
-  std::optional<Ticket> Given;
+  std::optional<Ticket> IssuedTicket;
 };
 
 /// One run at an endpoint.
@@ -43,16 +43,16 @@
   TimePoint Began;
 };
 
-/// How often things go wrong, in percent.
+/// Probabilities of faults, in percent.
 struct FaultRates {
   unsigned Message = 5;
   unsigned Platform = 15;
   unsigned Endpoint = 5;
-  /// Events that come much later than the others.
+  /// Events that are delayed much longer than others.
   unsigned Late = 5;
 };
 
-/// A small deployment on virtual time.
+/// A small deployment with virtual time.
 class RequestWorld {
 public:
   RequestWorld(std::uint64_t seed, FaultRates rates, std::size_t entries,
@@ -61,51 +61,52 @@
                std::size_t ledgerRecords = 6);
 
   RandomScheduler Scheduler;
-  /// Stable addresses: records are added only.
+  /// Records are only ever added, so their addresses are stable.
   std::vector<std::unique_ptr<CallRecord>> Calls;
   std::vector<RunRecord> Runs;
-  /// Requests that began at an endpoint seconds after it was said to leave.
+  /// Runs that an agent started more than LeavingGrace after the host list
+  /// marked its endpoint as leaving.
   std::size_t LateStarts = 0;
 
-  /// A caller asks for \p name at \p entry; the record is in Calls.
-  CallRecord &ask(std::size_t entry, const std::string &name,
-                  const std::function<void(CallerRequest &)> &change);
+  /// Sends the request \p name to \p entry. Returns its record in Calls.
+  CallRecord &sendRequest(std::size_t entry, const std::string &name,
+                          const std::function<void(CallerRequest &)> &change);
 
   void killEntry(std::size_t i);
   void killAgent(std::size_t i);
   void freezeAgent(std::size_t i, Duration span);
   void freezeEntry(std::size_t i, Duration span);
-  /// The host list says whether the endpoint is leaving; its agent learns of it
-  /// when it can, entries only from the agent.
+  /// Marks the endpoint as leaving in the host list, or removes the mark. The
+  /// agent learns of the change after a delay, entries only from the agent.
   void setLeaving(std::size_t i, bool leaving);
   void cutLink(std::size_t entry, std::size_t agent);
-  /// From now on each engine that runs \p name ends.
+  /// From now on each engine that runs \p name crashes.
   void setDeadly(const std::string &name) { Deadly = name; }
-  /// The engine of endpoint \p i ends with all that it runs; it is back after
-  /// DownTime. Its agent lives on and finds out.
-  void endEngine(std::size_t i);
-  /// Engines that ended under the deadly request.
-  unsigned deadlyEnds() const { return DeadlyEnds; }
+  /// Crashes the engine of endpoint \p i with all its runs. The engine restarts
+  /// after EngineDowntime; the agent keeps running and detects the crash.
+  void crashEngine(std::size_t i);
+  /// Number of engines that the deadly request crashed.
+  unsigned deadlyCrashes() const { return DeadlyCrashes; }
   void setOutage(Duration span) { OutageUntil = Scheduler.now() + span; }
 
-  /// The whole answer to \p name.
+  /// Returns the complete response to \p name.
   static std::string expectedBody(const std::string &name);
 
 private:
   struct Entry {
     std::unique_ptr<EntryNode> Node;
-    std::uint64_t Life = 0;
+    std::uint64_t ProcessIncarnation = 0;
     std::uint64_t LastCall = 0;
-    std::map<CallId, CallRecord *> Open;
+    std::map<CallId, CallRecord *> OpenCalls;
     TimePoint FrozenUntil;
   };
   struct Agent {
     EndpointId Id;
     std::unique_ptr<AgentNode> Node;
-    std::uint64_t Life = 0;
+    std::uint64_t ProcessIncarnation = 0;
     TimePoint FrozenUntil;
     std::optional<TimePoint> LeavingSince;
-    /// The engine's life, what it runs, and until when it is down.
+    /// The engine's incarnation, its runs, and the end of its downtime.
     std::uint64_t Engine = 0;
     std::set<RequestId> Runs;
     TimePoint DownUntil;
@@ -113,13 +114,13 @@
   void startEntry(std::size_t i);
   void startAgent(std::size_t i);
   std::size_t agentOf(const EndpointId &id) const;
-  LinkId linkOf(std::size_t entry, std::uint64_t life) const;
-  void toEntry(std::size_t i, std::uint64_t life,
-               const std::function<EntryActions(EntryNode &)> &input);
-  void toAgent(std::size_t i, std::uint64_t life,
-               const std::function<AgentActions(AgentNode &)> &input);
-  template <typename Machines>
-  void setTimer(Machines &machines, std::size_t i, TimePoint due);
+  LinkId linkOf(std::size_t entry, std::uint64_t incarnation) const;
+  void deliverToEntry(std::size_t i, std::uint64_t incarnation,
+                      const std::function<EntryActions(EntryNode &)> &input);
+  void deliverToAgent(std::size_t i, std::uint64_t incarnation,
+                      const std::function<AgentActions(AgentNode &)> &input);
+  template <typename Nodes>
+  void setTimer(Nodes &nodes, std::size_t i, TimePoint due);
   void apply(std::size_t i, const EntryActions &actions);
   void apply(std::size_t i, const AgentActions &actions);
   void perform(std::size_t i, const SendToAgent &action);
@@ -133,8 +134,8 @@
   void perform(std::size_t i, const StartRun &action);
   void perform(std::size_t i, const StopRun &action);
   void end(std::size_t i, CallId id, ResultCode code);
-  void stepRun(std::size_t agent, std::uint64_t life, std::uint64_t engine,
-               RequestId id, const std::string &rest);
+  void continueRun(std::size_t agent, std::uint64_t incarnation,
+                   std::uint64_t engine, RequestId id, const std::string &rest);
   KvReply callKv(const KvCall &call);
 
   FaultRates Rates;
@@ -144,10 +145,10 @@
   std::vector<Entry> Entries;
   std::vector<Agent> Agents;
   FakeKeyValue Kv;
-  std::uint64_t LastLife = 0;
+  std::uint64_t LastIncarnation = 0;
   TimePoint OutageUntil;
   std::string Deadly;
-  unsigned DeadlyEnds = 0;
+  unsigned DeadlyCrashes = 0;
 };
 
 } // namespace ospreyspur::test
