--- a/include/ospreyspur/Experts/ChangeBudget.h
+++ b/include/ospreyspur/Experts/ChangeBudget.h
@@ -1,12 +1,13 @@
-//===- ChangeBudget.h - how much one change of a map may bring --*- C++ -*-===//
+//===- ChangeBudget.h - size limits of a map change -------------*- C++ -*-===//
 //
-// A copy makes passes longer while it goes on, and a plan that follows every
-// chance of the last samples copies for nothing. Both cost as much more the
-// longer a rank copies one expert, and nothing else does: so what a change may
-// bring and the least gain of a copy follow from that time, which the engine's
-// operators state. With one least gain for all, that of experts which take 0.15
-// s, the plans of a group of 63 ended at a skew of 1.5 with 60 copies, where
-// 1.12 can be had with 220; its experts take 14 ms.
+// Copying an expert's weights slows the rank's engine iterations, and a plan
+// that follows the random variation of the latest samples causes copies without
+// benefit. Both costs are proportional to the time that a rank takes to copy
+// one expert. The size of a change and the minimum gain of a copy therefore
+// follow from that time, which the engine's operators configure. With one
+// minimum gain for all groups, tuned for experts that take 0.15 s, a group of
+// 63 ranks whose experts take 14 ms ended at an imbalance of 1.5 with 60
+// copies; 220 copies reach 1.12.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,27 +20,29 @@
 
 namespace ospreyspur {
 
-/// Bounds the changes of one group.
+/// Bounds the size of each map change of one group.
 class ChangeBudget {
 public:
-  /// How long a rank may copy for a change, but for one expert that may take
-  /// longer; twice as long for an urgent one. A shift raises the skew of a map
-  /// that fitted from 1.2 to 3.2 at once (recorded counts), and a change takes
-  /// some 0.3 s for all but the copying: where copies are short, several small
-  /// changes cost more passes than one large one. Where one takes longer than
-  /// all this it is the other way round: with two experts of 0.4 s a rank after
-  /// a shift a calm day was worth 0.70, with one 0.81.
+  /// Time that a rank may spend on copies for one change; twice as long if the
+  /// change is urgent. A change always allows one expert, even if its copy
+  /// takes longer. After a demand shift, the imbalance of a well-fitting map
+  /// jumps from 1.2 to 3.2, and a change takes about 0.3 s in addition to the
+  /// copies. Where copies are short, several small changes therefore cost more
+  /// engine iterations than one large change. Where one copy exceeds this time,
+  /// the opposite holds: with experts of 0.4 s, two copies per rank after a
+  /// shift scored 0.70 under steady load, one copy scored 0.81.
   static constexpr Duration Copying = std::chrono::milliseconds(60);
-  /// The least gain that a copy is worth, as part of a set's mean load, where
-  /// an expert takes DearCopy or longer: found by trials with groups of 8 ranks
-  /// and experts of 0.15 s. Of shorter copies as much less.
+  /// Minimum gain of a copy, as a fraction of a set's mean load, if copying an
+  /// expert takes DearCopy or longer. Shorter copies need proportionally less.
+  /// Fits groups of 8 ranks whose experts take 0.15 s.
   static constexpr double MinGain = 0.04;
   static constexpr Duration DearCopy = std::chrono::milliseconds(150);
 
-  /// \p copyTime: how long a rank copies one expert; zero if unknown.
+  /// \p copyTime is the time that a rank takes to copy one expert; zero if
+  /// unknown.
   explicit ChangeBudget(Duration copyTime) : CopyTime(copyTime) {}
 
-  /// New experts that a change may bring to a rank in all its sets.
+  /// Number of new experts that a change may bring to a rank, over all sets.
   std::size_t newPerRank(bool isUrgent) const;
   double minGain() const;
 
--- a/include/ospreyspur/Experts/CoordinatorWatch.h
+++ b/include/ospreyspur/Experts/CoordinatorWatch.h
@@ -1,9 +1,10 @@
-//===- CoordinatorWatch.h - may a member take its group over? ---*- C++ -*-===//
+//===- CoordinatorWatch.h - when to take a coordinator over -----*- C++ -*-===//
 //
-// A group that stands still is no proof that its coordinator is gone: it may be
-// at work on just that, or its orders may be slow. A member that doubts asks it
-// first, and takes the lease only if there is no answer. Members wait in the
-// order of their ranks, so that mostly one of them acts.
+// A stalled group does not prove that its coordinator is gone: the coordinator
+// may be working on the stall, or its orders may be slow. A member that
+// suspects its coordinator queries it first and takes the lease over only if
+// there is no reply. Members wait in the order of their ranks, so that usually
+// only one of them acts.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,35 +18,38 @@
 
 namespace ospreyspur {
 
-/// What a member should do about a group that stands still.
+/// What a member should do about a stalled group.
 enum class StallAdvice : std::uint8_t {
   Wait,
-  /// Ask the coordinator whether it is at work.
+  /// Query whether the coordinator is working on the group.
   Ask,
   TakeOver,
 };
 
-/// One member's view of its coordinator, for as long as the group stands.
+/// One member's view of its coordinator while the group is stalled.
 class CoordinatorWatch {
 public:
-  /// Some round trips of a busy host.
+  /// Time that a coordinator has for its reply: a few round trips of a busy
+  /// host.
   static constexpr Duration AnswerTime = std::chrono::milliseconds(150);
-  /// A write to the store and what follows take some 20 ms.
+  /// Additional wait per rank. Writing to the key-value store and the work that
+  /// follows take about 20 ms.
   static constexpr Duration NextRankAfter = std::chrono::milliseconds(30);
-  /// The last rank of a large group waits no longer than this for the others.
+  /// Upper bound of the additional wait, for the last ranks of a large group.
   static constexpr Duration LongestTurn = std::chrono::milliseconds(500);
-  /// A coordinator that answers and yet does not get its group to move for this
-  /// time may be cut off from some of its ranks; its own phases end earlier.
+  /// A coordinator that replies but does not get its group to progress within
+  /// this time may be cut off from some of its ranks. The coordinator's own
+  /// phases time out earlier.
   static constexpr Duration LongestTrust = std::chrono::milliseconds(2500);
 
-  /// The group stands, as seen by the member of \p rank, which takes \p holder
-  /// for its coordinator. Another one than before is doubted anew: the silence
-  /// of its predecessor says nothing of it.
+  /// Called while the group is stalled, as seen by the member of \p rank, which
+  /// regards \p holder as its coordinator. A new holder is evaluated from the
+  /// start: the silence of its predecessor says nothing about it.
   StallAdvice onStalled(const std::string &holder, unsigned rank,
                         TimePoint now);
-  /// The coordinator has answered.
+  /// The coordinator has replied.
   void onAnswer(TimePoint now);
-  /// The group moves.
+  /// The group progresses again.
   void onMoving();
 
 private:
--- a/include/ospreyspur/Experts/DemandMeter.h
+++ b/include/ospreyspur/Experts/DemandMeter.h
@@ -1,12 +1,12 @@
-//===- DemandMeter.h - which experts are in demand now ----------*- C++ -*-===//
+//===- DemandMeter.h - current demand for each expert -----------*- C++ -*-===//
 //
-// Adds up the samples of a group's ranks. Demand stays alike for seconds and
-// then changes at once, in another part each time. A sum that only fades mixes
-// what was with what is: on recorded counts of 63 ranks a shift moves 0.23 of
-// the demand, a sum with a half-life of 0.4 s still had half of the old after
-// the first change of map, so that maps planned for a skew of 1.45 came into
-// force at 1.65. So the last few samples are held against the sum, and where
-// they contradict it, it is begun anew with them.
+// Adds up the demand samples of a group's ranks. Demand stays similar for
+// seconds and then shifts abruptly, each time in another part. A sum that only
+// decays mixes old and new demand: with 63 ranks a shift moves 0.23 of the
+// demand, and a sum with a half-life of 0.4 s still consisted of half old
+// demand after the first map change, so that maps planned for an imbalance of
+// 1.45 took effect at 1.65. The most recent samples are therefore compared with
+// the sum; if they contradict it, the sum restarts from them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,31 +22,32 @@
 
 namespace ospreyspur {
 
-/// How a demand is measured.
+/// Parameters of a DemandMeter.
 struct DemandLimits {
-  /// A sample is worth half after this time, once the demand has stayed alike
-  /// for longer; before that, after the time since it changed.
+  /// Half-life of a sample once the demand has been stable for at least this
+  /// time. Before that, the half-life equals the time since the last shift.
   Duration HalfLife = std::chrono::milliseconds(800);
   Duration ShortestHalfLife = std::chrono::milliseconds(150);
-  /// Samples that are held against the sum. Eight of one rank each were apart
-  /// from a group's demand by 0.04, sixteen by 0.03 (recorded counts of 63
-  /// ranks); a small group is heard whole.
+  /// Number of recent samples that are compared with the sum. In a group of 63
+  /// ranks, eight samples of one rank each differed from the group's demand by
+  /// 0.04, sixteen by 0.03. In a small group they cover every rank.
   std::size_t Recent = 12;
-  /// They contradict it from this part of the demand on, if that is also
-  /// UsualFactor times what they are apart on average: where few streams write,
-  /// each that ends changes what is liked.
+  /// The recent samples contradict the sum if they differ from it by more than
+  /// this fraction of the demand and by more than UsualFactor times the average
+  /// difference. With few decoding streams, the demand changes whenever one of
+  /// them ends.
   double LeastChange = 0.09;
   double UsualFactor = 2.5;
-  /// Of how many comparisons the average is taken, and how many there have to
-  /// be before it says anything.
+  /// Number of comparisons in the average difference, and the minimum number
+  /// before the average is used.
   std::size_t UsualOf = 64;
   std::size_t UsualFrom = 16;
-  /// How many of the last samples the sum is begun anew with.
+  /// Number of recent samples from which the sum restarts.
   std::size_t KeptAtChange = 4;
-  /// Samples from which a plan may be made after a change: the first ones
-  /// still have a part from before it.
+  /// Number of samples after a shift before a plan may be made. The first
+  /// samples still contain demand from before the shift.
   std::size_t SettledFrom = 12;
-  /// Nobody waits longer than this for them.
+  /// Longest wait for these samples.
   Duration LongestSettling = std::chrono::milliseconds(250);
 };
 
@@ -57,18 +58,20 @@
 
   // Commands.
 
-  /// Takes what a rank's requests chose, set by set.
+  /// Adds the number of times that a rank's requests chose each expert, set by
+  /// set.
   void add(const std::vector<std::uint32_t> &picks, TimePoint now);
 
   // Queries.
 
-  /// The demand for each expert, set by set; empty before the first sample.
+  /// Weighted demand for each expert, set by set; empty before the first
+  /// sample.
   const std::vector<double> &demand() const { return Demand; }
-  /// All of it together.
+  /// Sum of demand().
   double total() const;
-  /// Whether enough has been heard since the demand last changed.
+  /// Whether enough samples have arrived since the last demand shift.
   bool isSettled(TimePoint now) const;
-  /// Times that the demand was found to have changed.
+  /// Number of demand shifts detected so far.
   std::uint64_t changes() const { return Changes; }
 
 private:
@@ -82,10 +85,10 @@
   DemandLimits Limits;
   std::vector<double> Demand;
   TimePoint FadedAt;
-  /// The last samples, which Demand has too, and their sum.
+  /// The most recent samples, which Demand includes, and their sum.
   std::deque<Counts> Last;
   std::vector<double> LastSum;
-  /// How far the last samples are apart from those before, on average.
+  /// Average difference between the recent samples and the older ones.
   double Usual = 0;
   std::size_t Compared = 0;
   std::uint64_t Changes = 0;
--- a/include/ospreyspur/Experts/DemandSampler.h
+++ b/include/ospreyspur/Experts/DemandSampler.h
@@ -1,11 +1,11 @@
-//===- DemandSampler.h - what a rank tells of its demand --------*- C++ -*-===//
+//===- DemandSampler.h - samples of a rank's demand -------------*- C++ -*-===//
 //
-// Turns the counts of one rank into what was chosen since the sample before,
-// and decides when the next sample is due: all ranks of a group send theirs to
-// one coordinator, whose link is narrow, so a larger group sends fewer of each.
-// A sample tells of the last moments only: one of all that was chosen since the
-// sample before, 0.6 s in a group of 63, still has as much of what was liked
-// before a shift as of what is liked now.
+// Turns the expert counts of one rank into samples and decides when the next
+// sample is due. All ranks of a group send their samples to one coordinator
+// over a narrow link, so each rank of a larger group sends fewer. A sample
+// covers only a recent window: a sample of everything since the previous one,
+// 0.6 s in a group of 63 ranks, would contain as much demand from before a
+// shift as from after it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,18 +21,21 @@
 
 /// How often a rank's demand is sampled.
 struct SampleLimits {
-  /// Shortest time between two samples.
+  /// Shortest interval between two samples.
   Duration Shortest = std::chrono::milliseconds(110);
-  /// Demand shifts every few seconds. A sample that comes more rarely than this
-  /// tells of one shift what the next one has changed, and a plan then follows
-  /// chance: more of the link is worth it.
+  /// Longest desired interval. Demand shifts every few seconds; samples at
+  /// longer intervals report one shift after the next one has already occurred,
+  /// so that plans follow chance. A larger part of the link is used to avoid
+  /// this.
   Duration LongestWanted = std::chrono::milliseconds(800);
-  /// Longest time that a sample covers; some two passes of a busy group.
+  /// Longest time that a sample covers: about two engine iterations of a busy
+  /// group.
   Duration Window = std::chrono::milliseconds(150);
-  /// What all ranks of a group may send to their coordinator in a second; a
-  /// sample has a byte for each expert of each set.
+  /// Bytes per second that all ranks of a group together may send to their
+  /// coordinator. A sample has one byte for each expert of each set.
   double BytesPerSecond = 0;
-  /// The same where samples would otherwise come more rarely than wanted.
+  /// The higher rate used where the interval would otherwise exceed
+  /// LongestWanted.
   double MostBytesPerSecond = 0;
 };
 
@@ -43,11 +46,11 @@
 
   bool isDue(TimePoint now) const { return now >= NextAt; }
 
-  /// What was chosen lately, by the counts of \p status; empty if there is
-  /// nothing to compare with yet.
+  /// Computes from the counts of \p status how often each expert was chosen
+  /// recently; empty if there are no earlier counts to compare with.
   std::vector<std::uint32_t> take(const RankStatus &status, TimePoint now);
 
-  /// Time between two samples in a group of \p ranks with \p counts each.
+  /// Interval between two samples in a group of \p ranks with \p counts each.
   Duration interval(unsigned ranks, std::size_t counts) const;
 
 private:
@@ -58,9 +61,10 @@
   sinceLast(const std::vector<std::uint64_t> &counts) const;
 
   SampleLimits Limits;
-  /// When counts are wanted next.
+  /// When counts are needed next.
   TimePoint NextAt;
-  /// Whether Last begins a sample; else it only tells what is counted.
+  /// Whether Last is the start of a sample. Otherwise Last only identifies what
+  /// is counted.
   bool IsSampling = false;
   RankLife Life;
   FormationEpoch Formation;
--- a/include/ospreyspur/Experts/ExpertMap.h
+++ b/include/ospreyspur/Experts/ExpertMap.h
@@ -1,7 +1,7 @@
-//===- ExpertMap.h - which expert stands in which slot ----------*- C++ -*-===//
+//===- ExpertMap.h - assignment of experts to slots -------------*- C++ -*-===//
 //
-// For every layer, the expert in each slot of each rank. An expert may stand in
-// several slots; its work is then shared between them.
+// For every layer, the expert in each slot of each rank. An expert may occupy
+// several slots, which then share its tokens.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 /// An expert's number within its layer.
 using ExpertIndex = std::uint16_t;
 
-/// The measures of a group's maps.
+/// The dimensions of a group's maps.
 struct MapShape {
   std::size_t Layers = 0;
   std::size_t Experts = 0;
@@ -31,7 +31,7 @@
   friend bool operator==(const MapShape &, const MapShape &) = default;
 };
 
-/// Tokens that each expert got: [layer][expert].
+/// Tokens routed to each expert: [layer][expert].
 using ExpertDemand = std::vector<std::vector<double>>;
 
 /// A group's expert map.
@@ -43,23 +43,24 @@
   friend bool operator==(const ExpertMap &, const ExpertMap &) = default;
 };
 
-/// The map that deals experts out in turn. Needs at least one slot an expert.
+/// Returns the map that assigns experts to slots in turn. Needs at least one
+/// slot per expert.
 ExpertMap makeDealtMap(const MapShape &shape);
 
-/// Why \p map cannot be used: an expert without a slot, or twice on one rank;
-/// empty if it can.
+/// Describes why \p map is invalid, such as an expert without a slot or twice
+/// on one rank; empty if the map is valid.
 std::string findMapFault(const ExpertMap &map);
 
 /// Each rank's share of \p layer's tokens.
 std::vector<double> rankLoads(const ExpertMap &map, std::size_t layer,
                               const std::vector<double> &demand);
 
-/// Mean over layers of the highest rank load divided by the mean one; 1 is
-/// even.
+/// Mean over layers of the highest rank load divided by the mean rank load; 1
+/// is perfectly balanced.
 double measureSkew(const ExpertMap &map, const ExpertDemand &demand);
 
-/// Number of slots that hold another expert in \p after than in \p before; each
-/// is one expert's weights to load.
+/// Number of slots that hold another expert in \p after than in \p before. Each
+/// requires loading one expert's weights.
 std::size_t countMoves(const ExpertMap &before, const ExpertMap &after);
 
 /// \p map as text.
--- a/include/ospreyspur/Experts/ExpertPlanner.h
+++ b/include/ospreyspur/Experts/ExpertPlanner.h
@@ -1,9 +1,9 @@
-//===- ExpertPlanner.h - the next map for a drifting demand -----*- C++ -*-===//
+//===- ExpertPlanner.h - plans maps for a drifting demand -------*- C++ -*-===//
 //
-// Weighs the skew that a map would have against the experts that must be loaded
-// for it. It improves the present map by single changes, the most worthwhile
-// first, and stops when none is worth its cost or the budget is used up; so a
-// small drift costs few moves and an even load none.
+// Weighs a map's load imbalance against the number of experts that must be
+// loaded. Improves the current map by single changes, the most worthwhile
+// first, and stops when no change is worth its cost or the budget is used up. A
+// small drift therefore costs few moves and a balanced load none.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,21 +14,22 @@
 
 namespace ospreyspur {
 
-/// What a deployment cares for.
+/// Cost model of a deployment.
 struct PlannerWeights {
-  /// Worth of one unit of a layer's skew.
+  /// Value of reducing a layer's imbalance by one.
   double Skew = 1.0;
   /// Cost of loading one expert, in the same unit.
   double Move = 0.01;
-  /// Most experts that one plan may load: the weight store's rate times the
-  /// time that a change may take.
+  /// Maximum number of experts that one plan may load: the weight store's rate
+  /// times the time that a change may take.
   std::size_t MaxMoves = 2000;
-  /// A plan whose gain is below this stays a plan: keeps the map still when the
-  /// demand flutters. In units of skew, as a mean over layers.
+  /// A plan whose gain is below this value is discarded, so that small
+  /// fluctuations of demand do not change the map. In units of imbalance, as a
+  /// mean over layers.
   double MinGain = 0.02;
 };
 
-/// A proposed map and what it is expected to bring.
+/// A proposed map and its expected effect.
 struct MapPlan {
   ExpertMap Map;
   std::size_t Moves = 0;
@@ -41,8 +42,8 @@
 public:
   explicit ExpertPlanner(PlannerWeights weights) : Weights(weights) {}
 
-  /// The map to use after \p current for \p demand. Without a worthwhile
-  /// change it is \p current itself, with no moves.
+  /// Plans the map that follows \p current for \p demand. Without a worthwhile
+  /// change, the result is \p current with no moves.
   MapPlan plan(const ExpertMap &current, const ExpertDemand &demand) const;
 
 private:
--- a/include/ospreyspur/Experts/GroupActions.h
+++ b/include/ospreyspur/Experts/GroupActions.h
@@ -1,6 +1,7 @@
 //===- GroupActions.h - outputs of the group's state machines ---*- C++ -*-===//
 //
-// What GroupMember and GroupCoordinator ask their shell to do.
+// Actions that GroupMember and GroupCoordinator request from the code that runs
+// them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,28 +17,28 @@
 
 namespace ospreyspur {
 
-/// Matches an engine's answer to its order.
+/// Matches an engine's reply to its order.
 using RankOrderId = StrongType<struct RankOrderIdTag, std::uint64_t>;
 
-/// Send an order to the agent of \c To, which may be this one.
+/// Send an order to the agent of \c To, possibly the local one.
 struct SendGroupOrder {
   EndpointId To;
   GroupOrder Order;
 };
 
-/// Send a reply to the agent of \c To, which may be this one.
+/// Send a reply to the agent of \c To, possibly the local one.
 struct SendGroupReply {
   EndpointId To;
   GroupReply Reply;
 };
 
-/// Give the engine an order.
+/// Send an order to the local engine.
 struct OrderRank {
   RankOrderId Id;
   RankOrder Order;
 };
 
-/// Make a call on the platform's service for the coordinator.
+/// Send a coordinator's request to the platform's key-value store.
 struct CallPlatformForGroup {
   KvRequest Request;
 };
--- a/include/ospreyspur/Experts/GroupCoordinator.h
+++ b/include/ospreyspur/Experts/GroupCoordinator.h
@@ -1,9 +1,10 @@
-//===- GroupCoordinator.h - leads a group's map changes ---------*- C++ -*-===//
+//===- GroupCoordinator.h - coordinates map changes -------------*- C++ -*-===//
 //
-// Runs in every agent of a group and acts in the one that holds the lease. It
-// forms the group, and takes a new map through propose, load, arm, commit and
-// record. It decides nothing that a successor could not find out: the record
-// says what was proposed, the members' engines say how far it came.
+// Runs in every agent of a group; only the agent that holds the lease acts. The
+// coordinator forms the group and takes a new map through propose, load, arm,
+// commit and record. A successor can recover every decision: the record
+// contains what was proposed, and the members' engines report how far the
+// change has progressed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,36 +21,39 @@
 
 namespace ospreyspur {
 
-/// Waits of a coordinator.
+/// Timeouts of a coordinator.
 struct CoordinatorLimits {
   LeaseLimits Lease;
-  /// Between two sendings of the same order to members that did not answer.
+  /// Interval between two sends of the same order to members that have not
+  /// replied.
   Duration Resend = std::chrono::milliseconds(250);
-  /// How long members may take to arm before they are asked, which makes those
-  /// refuse that have not.
+  /// Time that members have for arming. Afterwards the coordinator sends Ask,
+  /// which makes every member that is not armed refuse.
   Duration ArmTimeout = std::chrono::seconds(2);
   Duration LoadTimeout = std::chrono::seconds(120);
-  /// How often an idle coordinator looks at its members.
+  /// Interval at which an idle coordinator queries its members.
   Duration SurveyEvery = std::chrono::seconds(15);
-  /// After this time without an end, a phase looks whether the group changed.
+  /// After this time without completion, a phase checks whether the members of
+  /// the group have changed.
   Duration PhasePatience = std::chrono::seconds(10);
-  /// How many steps ahead a switch is armed.
+  /// Number of steps between the highest reported step and the step of a
+  /// switch.
   std::uint64_t StepsAhead = 200;
 };
 
-/// Where a coordinator stands.
+/// Phase of a coordinator.
 enum class CoordinatorPhase : std::uint8_t {
   /// Does not hold the lease.
   Following,
   /// Reads the group's record.
   Reading,
-  /// Asks members for their states.
+  /// Queries the states of the members.
   Surveying,
   /// Writes a record that begins a new generation.
   Reforming,
-  /// Has members join it.
+  /// Lets the members join the new generation.
   Joining,
-  /// Finds out and spreads the outcome of an earlier attempt.
+  /// Determines the outcome of an earlier attempt and distributes it.
   Settling,
   /// Nothing to do.
   Idle,
@@ -57,28 +61,29 @@
   Proposing,
   Loading,
   Arming,
-  /// Spreads the commit until every member runs the map.
+  /// Sends the commit until every member runs the map.
   Committing,
   /// Writes the committed map into the record.
   Recording,
 };
 
-/// Leads a group's map changes while it holds the lease.
+/// Coordinates a group's map changes while it holds the lease.
 class GroupCoordinator {
 public:
   GroupCoordinator(GroupId group, EndpointId self, CoordinatorLimits limits);
 
   // Commands.
 
-  /// The group's present members, from the host list.
+  /// Sets the group's current members, from the host list.
   void setMembers(std::vector<EndpointId> members);
-  /// The map to bring into force; a later one replaces one not begun.
+  /// Sets the map to bring into force; replaces a map whose change has not
+  /// begun.
   void setWanted(std::string map) { Wanted = std::move(map); }
-  /// A member's answer.
+  /// Handles a member's reply.
   GroupActions onReply(const GroupReply &reply, TimePoint now);
-  /// The platform's answer.
+  /// Handles the reply of the key-value store.
   GroupActions onKvReply(KvCallId id, const KvReply &reply, TimePoint now);
-  /// Does what is due at \p now; call at least when nextTimer() says.
+  /// Does what is due at \p now. Must be called no later than nextTimer().
   GroupActions onTimer(TimePoint now);
 
   // Queries.
@@ -120,9 +125,9 @@
   KvCallId LeaseCall;
   KvCallId RecordCall;
   std::uint64_t LastCall = 0;
-  /// Answers to the present phase's order.
+  /// Replies to the order of the current phase.
   std::map<EndpointId, GroupReply> Answers;
-  /// The attempt in hand and its step.
+  /// The attempt under way and its step.
   ChangeAttempt Attempt;
   StepNumber ArmStep;
   StepNumber HighestStep;
--- a/include/ospreyspur/Experts/GroupMember.h
+++ b/include/ospreyspur/Experts/GroupMember.h
@@ -1,16 +1,16 @@
-//===- GroupMember.h - one agent's part in map changes ----------*- C++ -*-===//
+//===- GroupMember.h - an agent's role in map changes -----------*- C++ -*-===//
 //
-// Keeps the promise that no two ranks of a group use different maps in one
-// step.
+// Guarantees that no two ranks of a group use different maps in one step.
 //
-// A change is committed if and only if every member armed for it. An armed
-// engine does not start the armed step before it knows the outcome. A member
-// that is asked about an attempt and has not armed refuses it for good, in its
-// engine, before it answers. So whoever asks all members always learns the one
-// outcome, and neither the coordinator nor the platform is needed for it.
+// A change is committed if and only if every member has armed for it. An armed
+// engine does not start the armed step before the outcome is known. A member
+// that is asked about an attempt and has not armed for it refuses the attempt
+// permanently, in its engine, before it replies. Whoever asks all members
+// therefore always learns the same outcome, without the coordinator or the
+// platform.
 //
-// The member itself remembers nothing that matters: promises are kept by the
-// engine, and a new member begins by reading them.
+// The member keeps no essential state: the engine stores the promises, and a
+// new member begins by reading them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,12 +26,13 @@
 
 namespace ospreyspur {
 
-/// Waits of a member.
+/// Timeouts and limits of a member.
 struct MemberLimits {
-  /// How long an engine may take over an order. Loads only begin within it.
+  /// Time that an engine has to reply to an order. A load only has to begin
+  /// within this time.
   Duration RankTimeout = std::chrono::seconds(2);
-  /// How long an armed member waits for the coordinator's word before it asks
-  /// the others, and between two rounds of asking.
+  /// Time that an armed member waits for the coordinator's outcome before it
+  /// asks the other members, and the interval between two rounds of asking.
   Duration AskAfter = std::chrono::milliseconds(300);
   std::size_t MaxWaiting = 64;
 };
@@ -45,11 +46,11 @@
 
   /// Begins by reading the engine's state.
   GroupActions start(TimePoint now);
-  /// An order or a question from another agent.
+  /// Handles an order or a query from another agent.
   GroupActions onOrder(const GroupOrder &order, TimePoint now);
-  /// An answer to this member's own question.
+  /// Handles a reply to this member's own query.
   GroupActions onReply(const GroupReply &reply, TimePoint now);
-  /// The engine's answer.
+  /// Handles the engine's reply.
   GroupActions onRankReply(RankOrderId id, const RankReply &reply,
                            TimePoint now);
   /// Does what is due at \p now.
@@ -58,15 +59,16 @@
   // Queries.
 
   std::optional<TimePoint> nextTimer() const;
-  /// The engine's state as last read.
+  /// The engine's state as last received.
   const std::optional<RankState> &state() const { return State; }
 
 private:
-  /// An order to the engine that has no answer yet.
+  /// An order to the engine that has not been answered yet.
   struct Pending {
     RankOrderId Id;
     RankOrder Order;
-    /// The order that led to it; none for the member's own.
+    /// The agent's order that caused this one; none for the member's own
+    /// orders.
     std::optional<GroupOrder> Cause;
     TimePoint GiveUpAt;
   };
@@ -95,7 +97,8 @@
   std::optional<Pending> InFlight;
   std::deque<GroupOrder> Waiting;
   std::uint64_t LastRankOrder = 0;
-  /// For the armed attempt: who is known to have armed, and when to ask.
+  /// For the armed attempt: the members known to have armed, and when to ask
+  /// the others.
   ChangeAttempt VotesFor;
   std::set<EndpointId> ArmedVotes;
   std::optional<TimePoint> AskAt;
--- a/include/ospreyspur/Experts/GroupMessages.h
+++ b/include/ospreyspur/Experts/GroupMessages.h
@@ -1,7 +1,8 @@
 //===- GroupMessages.h - messages of a group's map changes ------*- C++ -*-===//
 //
-// The orders and replies by which a group's agents change the expert map. Every
-// order names the coordinator's epoch and the attempt that it belongs to.
+// The orders and replies with which a group's agents change the expert map.
+// Every order carries the coordinator's epoch and the attempt that the order
+// belongs to.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,11 +17,14 @@
 
 namespace ospreyspur {
 
-/// The revision of the coordinator's lease record; a later holder's is higher.
+/// The revision of the coordinator's lease record; later holders have higher
+/// ones.
 using Epoch = StrongType<struct EpochTag, std::uint64_t>;
-/// Counts how often the group was formed anew; steps count within one.
+/// Counts how often the group was re-formed; steps are numbered within a
+/// generation.
 using Generation = StrongType<struct GenerationTag, std::uint64_t>;
-/// Numbers the tries to change the map; set by compare-and-swap, never reused.
+/// Numbers the attempts to change the map; set by compare-and-swap, never
+/// reused.
 using ChangeAttempt = StrongType<struct ChangeAttemptTag, std::uint64_t>;
 /// Numbers the group's expert maps.
 using MapVersion = StrongType<struct MapVersionTag, std::uint64_t>;
@@ -35,17 +39,18 @@
   Load,
   /// Promise not to start the step before the attempt's outcome is known.
   Arm,
-  /// Say whether you armed for the attempt; if not, never do so.
+  /// Report whether the member has armed for the attempt; if not, refuse it
+  /// permanently.
   Ask,
   /// The attempt is committed: every member had armed.
   Commit,
   /// The attempt is aborted: some member had refused.
   Abort,
-  /// Report your state.
+  /// Report the member's state.
   Report,
 };
 
-/// An order, or a question, about a group's map.
+/// An order or a query about a group's map.
 struct GroupOrder {
   GroupId Group;
   Epoch CoordinatorEpoch;
@@ -54,7 +59,7 @@
   MapVersion Version;
   StepNumber Step;
   GroupOrderKind Kind = GroupOrderKind::Report;
-  /// Who wants the reply.
+  /// The endpoint to which the reply goes.
   EndpointId Sender;
   /// The encoded map, for Join and Load.
   std::string Map;
@@ -68,17 +73,17 @@
   Loaded,
   LoadFailed,
   Armed,
-  /// Never armed for the attempt and never will be.
+  /// The member has never armed for the attempt and never will.
   Refused,
   /// The attempt is known to be committed.
   Committed,
-  /// Only reports generation, running version and step.
+  /// Only reports the generation, the running version and the step.
   State,
-  /// The order's epoch is lower than one seen.
+  /// The order's epoch is lower than one seen before.
   Fenced,
 };
 
-/// A member's answer.
+/// A member's reply to a GroupOrder.
 struct GroupReply {
   GroupId Group;
   EndpointId Member;
--- a/include/ospreyspur/Experts/GroupPlanner.h
+++ b/include/ospreyspur/Experts/GroupPlanner.h
@@ -1,7 +1,8 @@
 //===- GroupPlanner.h - decides when a group gets a new map -----*- C++ -*-===//
 //
-// Collects from each member the tokens that its own slots got, which add up to
-// the demand for every expert, and plans from them at a steady pace.
+// Collects from each member the number of tokens that its own slots received.
+// Together they give the demand for every expert, from which a map is planned
+// at a fixed interval.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,21 +23,21 @@
 /// Plans maps for one group.
 class GroupPlanner {
 public:
-  /// Plans at most once in \p interval.
+  /// Plans at most once per \p interval.
   GroupPlanner(PlannerWeights weights, Duration interval)
       : Planner(weights), Interval(interval) {}
 
-  /// Takes a member's tokens by layer and slot since its last report, under map
-  /// \p version.
+  /// Adds a member's tokens by layer and slot since its last report, counted
+  /// under map \p version.
   void addTokens(const EndpointId &member, MapVersion version,
                  const std::vector<std::uint32_t> &tokens);
 
-  /// The map to bring into force after the one in \p record, if it is time,
-  /// every member has reported and a change is worthwhile.
+  /// Returns the map that follows the committed map of \p record, if the
+  /// interval has passed, every member has reported and a change is worthwhile.
   std::optional<MapPlan> plan(const GroupRecord &record, TimePoint now);
 
 private:
-  /// What a member reported since the last plan.
+  /// The tokens that a member has reported since the last plan.
   struct Report {
     MapVersion Version;
     std::vector<double> Tokens;
--- a/include/ospreyspur/Experts/GroupRecord.h
+++ b/include/ospreyspur/Experts/GroupRecord.h
@@ -1,8 +1,8 @@
-//===- GroupRecord.h - a group's record in the platform ---------*- C++ -*-===//
+//===- GroupRecord.h - a group's key-value record ---------------*- C++ -*-===//
 //
-// What a group's coordinators agree on through compare-and-swap: the generation
-// and its members, the committed map, the map that is to come, and the number
-// of the latest attempt.
+// The state on which a group's coordinators agree through compare-and-swap: the
+// generation and its members, the committed map, the proposed map and the
+// number of the latest attempt.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 namespace ospreyspur {
 
-/// A map and its number.
+/// A map and its version.
 struct NumberedMap {
   MapVersion Version;
   std::string Map;
@@ -26,8 +26,8 @@
 
 /// A group's record.
 struct GroupRecord {
-  /// The writer's epoch; tells a writer whether a write with a lost answer was
-  /// its own.
+  /// The writer's epoch. After a write whose reply was lost, the epoch tells
+  /// the writer whether the stored record is its own.
   Epoch Writer;
   Generation GroupGeneration;
   std::vector<EndpointId> Members;
@@ -36,14 +36,14 @@
   std::optional<NumberedMap> Proposed;
 };
 
-/// The platform's keys of \p group.
+/// Key-value store keys of \p group.
 std::string coordinatorKey(const GroupId &group);
 std::string recordKey(const GroupId &group);
 
-/// \p record as JSON.
+/// Encodes \p record as JSON.
 std::string formatRecord(const GroupRecord &record);
 
-/// Reads formatRecord()'s text. Errors: PlatformBadAnswer.
+/// Parses the output of formatRecord(). Errors: PlatformBadAnswer.
 Result<GroupRecord> parseRecord(const std::string &text);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Experts/LayerPlanner.h
+++ b/include/ospreyspur/Experts/LayerPlanner.h
@@ -1,7 +1,7 @@
 //===- LayerPlanner.h - improves one layer of a map -------------*- C++ -*-===//
 //
-// Keeps one layer's slots, copies and rank loads, and finds the next change
-// that relieves the rank with the highest load.
+// Keeps the slots, copies and rank loads of one layer, and finds the next
+// change that relieves the rank with the highest load.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,30 +15,31 @@
 
 namespace ospreyspur {
 
-/// A change of one or two slots.
+/// A change of one slot or an exchange between two slots.
 struct LayerChange {
-  /// Gets \c FirstExpert.
+  /// The slot that receives \c FirstExpert.
   std::size_t FirstSlot = 0;
   ExpertIndex FirstExpert = 0;
-  /// For an exchange, the other slot; the same as the first for a copy.
+  /// For an exchange, the other slot; for a copy, the same as the first.
   std::size_t SecondSlot = 0;
   ExpertIndex SecondExpert = 0;
-  /// Experts to load.
+  /// Number of experts to load.
   std::size_t Moves = 0;
-  /// By how much the load of the hottest rank concerned falls, in mean loads.
+  /// Reduction of the highest load among the affected ranks, in units of the
+  /// mean load.
   double Gain = 0;
 };
 
-/// One layer on the way to a better map.
+/// One layer of a map while it is being improved.
 class LayerPlanner {
 public:
   LayerPlanner(const ExpertMap &map, std::size_t layer,
                const std::vector<double> &demand);
 
-  /// The change with the highest gain for each move, if any gains.
+  /// The change with the highest gain per move; none if no change has a gain.
   std::optional<LayerChange> findChange() const;
 
-  /// Makes \p change.
+  /// Applies \p change.
   void apply(const LayerChange &change);
 
   /// Highest rank load divided by the mean.
@@ -61,10 +62,10 @@
   const std::vector<double> &Demand;
   std::vector<ExpertIndex> Slots;
   std::vector<double> Copies;
-  /// The slots of each expert.
+  /// The slots that hold each expert.
   std::vector<std::vector<std::size_t>> Holders;
   std::vector<double> Loads;
-  /// Ranks by falling load.
+  /// Ranks in descending order of load.
   std::vector<std::size_t> Order;
   double Mean = 0;
 };
--- a/include/ospreyspur/Experts/LeaseHolder.h
+++ b/include/ospreyspur/Experts/LeaseHolder.h
@@ -1,9 +1,9 @@
 //===- LeaseHolder.h - gets and keeps a lease -------------------*- C++ -*-===//
 //
-// The state machine that holds a group's coordinator lease. Its holder acts
-// only while its own monotonic clock says that the lease must still stand, less
-// a margin; a pause between that check and the act is covered by the epoch,
-// which the receivers compare.
+// State machine that acquires and keeps a group's coordinator lease. The holder
+// acts only while its own monotonic clock shows that the lease must still be
+// valid, less a margin. A pause between that check and an action is covered by
+// the epoch, which receivers compare.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,73 +20,78 @@
 
 namespace ospreyspur {
 
-/// Times of a lease.
+/// Durations and policies of a lease.
 struct LeaseLimits {
   Duration Span = std::chrono::seconds(6);
-  /// Not acted on in the lease's last part.
+  /// The holder does not act during this last part of the lease.
   Duration Margin = std::chrono::seconds(1);
   Duration RenewEvery = std::chrono::seconds(2);
-  /// How often a candidate looks whether the lease is free. It reads first:
-  /// most agents of a large fleet are candidates, and writes are scarce.
+  /// Interval at which a candidate checks whether the lease is free. The
+  /// candidate reads before it writes: most agents of a large fleet are
+  /// candidates, and the number of writes is limited.
   Duration RetryEvery = std::chrono::seconds(4);
-  /// After this time a call without an answer is given up.
+  /// A call without a reply is abandoned after this time.
   Duration CallTimeout = std::chrono::seconds(2);
-  /// Whether a holder whose renewals are not answered acts on until it learns
-  /// that the lease is gone. Only where something else ends what it may do: the
-  /// fencing of all that it orders, or its members' consent.
+  /// Whether a holder whose renewals get no reply continues to act until it
+  /// learns that the lease is lost. Safe only where something else limits its
+  /// actions: fencing of all its orders, or the consent of the group's members.
   bool OutlastsOutage = false;
-  /// Whether a lease of an earlier life of the process is taken at once: nobody
-  /// else acts under it. What that life ordered and is carried out late must be
-  /// fenced, or refused because its step has begun; a change that it left is
-  /// ended sooner the sooner the lease is taken.
+  /// Whether a lease held by an earlier incarnation of this process is taken
+  /// over at once; no other process acts under that lease. Late orders of the
+  /// earlier incarnation must be fenced, or refused because their step has
+  /// begun. The sooner the lease is taken over, the sooner a change that the
+  /// earlier incarnation left unfinished is ended.
   bool TakesOwn = false;
 };
 
-/// Gets and keeps one lease.
+/// Acquires and keeps one lease.
 class LeaseHolder {
 public:
-  /// \p self is written as the key's value, for operators to read.
+  /// \p self is written as the key's value, so that operators can see the
+  /// holder.
   LeaseHolder(std::string key, std::string self, LeaseLimits limits);
 
-  /// The call to make now, if any; its answer goes to onReply().
+  /// The call to make now, if any; its reply goes to onReply().
   std::optional<KvCall> nextCall(TimePoint now);
-  /// The number of the call that nextCall() gave last.
+  /// The number of the latest call returned by nextCall().
   std::uint64_t lastCall() const { return LastCall; }
-  /// Takes the answer to the call \p number. One to an earlier call than the
-  /// latest is passed over: a late answer to a read would pass for one to a
-  /// write, and two holders would have one revision.
+  /// Handles the reply to call \p number. Replies to calls before the latest
+  /// are ignored: a late reply to a read could be taken for the reply to a
+  /// write, and two holders would then have the same revision.
   void onReply(std::uint64_t number, const KvReply &reply, TimePoint now) {
     if (number == LastCall)
       onReply(reply, now);
   }
-  /// Takes the answer to the latest call.
+  /// Handles the reply to the latest call.
   void onReply(const KvReply &reply, TimePoint now);
-  /// The holder gives no sign of life: takes the lease from it by the next
-  /// call, if it still has the revision that was read. Only where all that
-  /// holders order is fenced.
+  /// Called when the current holder appears to be dead. Takes the lease over
+  /// with the next call, if the lease still has the revision that was read.
+  /// Allowed only where all orders of holders are fenced.
   void takeOver(TimePoint now);
-  /// Doubts that it still holds the lease: acts no more until the next call
-  /// has found its own write to stand.
+  /// Called when this process may no longer hold the lease. It stops acting
+  /// until the next call has found that its own write is still in place.
   void doubt(TimePoint now);
-  /// Stops trying, and gives a held lease no further renewal.
+  /// Stops acquiring the lease, and does not renew a held lease again.
   void stop() { IsStopped = true; }
 
-  /// Whether the holder may act at \p now.
+  /// Whether this process may act as the holder at \p now.
   bool isHeld(TimePoint now) const {
     return Holder.get() > 0 && (Limits.OutlastsOutage || now < ActUntil);
   }
-  /// Whether the store has confirmed that the lease stands at \p now.
+  /// Whether the lease is valid at \p now according to the last reply of the
+  /// key-value store.
   bool isConfirmed(TimePoint now) const {
     return Holder.get() > 0 && now < ActUntil;
   }
-  /// The newest holder's revision that is known, the own one included; 0 if
-  /// none is.
+  /// The revision of the newest known holder, this process included; 0 if none
+  /// is known.
   Revision newestHolder() const { return std::max(Holder, OtherHolder); }
-  /// The epoch; only meaningful while held.
+  /// The epoch; meaningful only while the lease is held.
   Epoch epoch() const { return Epoch(Holder.get()); }
-  /// What the present holder wrote, as last read; empty if there was none.
+  /// The value that the current holder wrote, as last read; empty if there was
+  /// no holder.
   const std::string &holder() const { return HolderText; }
-  /// When nextCall() is next needed.
+  /// When nextCall() must be called next.
   TimePoint nextTimer() const;
 
 private:
@@ -99,20 +104,20 @@
   LeaseLimits Limits;
   Revision Holder;
   std::string HolderText;
-  /// What this holder wrote last, if it came to doubt it.
+  /// The last revision that this process wrote, if doubt() was called for it.
   Revision Doubted;
-  /// The other holder's revision as last read; 0 if there was none.
+  /// The revision of another holder as last read; 0 if there was none.
   Revision OtherHolder;
   TimePoint ActUntil;
   TimePoint NextCall;
   TimePoint SentAt;
   std::uint64_t LastCall = 0;
   bool IsCalling = false;
-  /// Whether the key was read as absent.
+  /// Whether the last read found no key.
   bool IsFree = false;
-  /// Whether the next call takes the lease from OtherHolder.
+  /// Whether the next call takes the lease over from OtherHolder.
   bool IsTakingOver = false;
-  /// Whether the call under way tries to take the lease.
+  /// Whether the pending call tries to acquire the lease.
   bool IsTaking = false;
   bool IsStopped = false;
 };
--- a/include/ospreyspur/Experts/MapDelta.h
+++ b/include/ospreyspur/Experts/MapDelta.h
@@ -1,11 +1,12 @@
-//===- MapDelta.h - maps told by what differs -------------------*- C++ -*-===//
+//===- MapDelta.h - maps encoded as differences -----------------*- C++ -*-===//
 //
-// A whole map goes to every rank of a group. In a large group that is more than
-// the coordinator's link carries in a step, and the answers of the engine on
-// its host wait behind it. So a link on which a map has gone before carries
-// only the sets that differ from that one, and another link those that differ
-// from the map that the group was formed with, which a rule gives: with one
-// copy a rank in a group of 96 less than a third of the whole.
+// A whole map goes to every rank of a group. In a large group that exceeds what
+// the coordinator's link can carry during one step, and responses of the engine
+// on the coordinator's host queue behind the maps. A link that has carried a
+// map before therefore carries only the sets that differ from that map. Any
+// other link carries only the sets that differ from the map that the group was
+// formed with, which follows from a rule: with one copy per rank in a group of
+// 96 that is less than a third of the whole map.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,11 +22,11 @@
 
 namespace ospreyspur {
 
-/// The coordinator's side: what has gone to each rank's agent.
+/// Sender side, in the coordinator: the maps sent to each rank's agent.
 class SentMaps {
 public:
-  /// \p order as it should go on \p link to the agent of \p rank; \p tries
-  /// earlier copies of it got no answer.
+  /// Returns \p order as it should be sent on \p link to the agent of \p rank;
+  /// \p tries earlier copies of the order got no reply.
   MapOrder shorten(unsigned rank, LinkId link, const MapOrder &order,
                    unsigned tries);
 
@@ -39,17 +40,18 @@
   std::optional<MapDelta> dealtDelta(const MapOrder &order);
 
   std::map<unsigned, Sent> LastSent;
-  /// The map that was last told by what differs from the dealt one, if that is
-  /// shorter, and how.
+  /// The last map that was compared with the dealt map, and its delta if that
+  /// is shorter than the whole map.
   std::shared_ptr<const GroupPlacement> DealtOf;
   std::optional<MapDelta> Dealt;
 };
 
-/// The agent's side: the last map that was told here.
+/// Receiver side, in the agent: the last map received.
 class ToldMap {
 public:
-  /// Makes the map of \p order whole. False if the map that it differs from is
-  /// not known here: then the coordinator's later copies are whole.
+  /// Restores the whole map of \p order. Returns false if the base map is not
+  /// known here, after which the coordinator's later copies carry the whole
+  /// map, or if the delta does not fit the base map.
   bool complete(MapOrder &order);
 
 private:
--- a/include/ospreyspur/Experts/MapOrder.h
+++ b/include/ospreyspur/Experts/MapOrder.h
@@ -1,8 +1,8 @@
 //===- MapOrder.h - orders to a rank about its map --------------*- C++ -*-===//
 //
-// What a group's coordinator asks of single ranks, and their answers. Each
-// order carries a fencing token higher than all before it, so that one that
-// arrives late is refused.
+// The orders that a group's coordinator sends to single ranks, and their
+// replies. Each order carries a fencing token higher than those of all earlier
+// orders, so that an order that arrives late is refused.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,15 +22,15 @@
 using MapOrderId = StrongType<struct MapOrderIdTag, std::uint64_t>;
 
 enum class MapOrderKind : std::uint8_t {
-  /// Copy the experts of the map that are new to the rank.
+  /// Copy the experts that are new to the rank under the map.
   Prepare,
-  /// Take the map as the step begins.
+  /// Switch to the map when the step begins.
   Arm,
-  /// Keep the present map after all.
+  /// Keep the current map after all.
   Disarm,
-  /// The group does not begin the step until it is released.
+  /// Do not begin the step until it is released.
   Hold,
-  /// Releases the step.
+  /// Release the step.
   Release,
 };
 
@@ -44,34 +44,34 @@
   std::vector<ExpertNumber> Experts;
 };
 
-/// One place of a rank and set that another expert takes, or its next one.
+/// An expert that replaces the one at a place of a rank's set, or is appended.
 struct ReplacedExpert {
   std::uint32_t Rank = 0;
   std::uint32_t Set = 0;
-  /// The place's number in the rank's experts of the set.
+  /// Index into the rank's experts of the set.
   std::uint32_t Place = 0;
   ExpertNumber Expert = 0;
 };
 
-/// The map that a group is formed with: the experts of each set are dealt to
-/// the ranks in turn.
+/// Shape of the map that a group is formed with: the experts of each set are
+/// assigned to the ranks in turn.
 struct DealtShape {
   std::uint32_t Ranks = 0;
   std::uint32_t Sets = 0;
   std::uint32_t Experts = 0;
 };
 
-/// A map told by what differs from another one.
+/// A map encoded as its differences from another map.
 struct MapDelta {
-  /// The map that was told before; not used if there is a Dealt one.
+  /// Version of the map sent before; unused if Dealt is set.
   MapVersion Base;
-  /// Sets of which a rank holds fewer experts.
+  /// Sets in which a rank holds fewer experts than in the base map.
   std::vector<RankSet> Sets;
   std::optional<DealtShape> Dealt = std::nullopt;
-  /// Places of all other sets, by rank, set and place. A place beyond those of
-  /// the other map is one more: a group's first map fills its free places, one
-  /// in each set of a rank, and told by whole sets it took 0.48 s to go out to
-  /// 63 ranks on a link of 8 Mbit/s.
+  /// Changed places of all other sets, by rank, set and place. A place beyond
+  /// those of the base map appends an expert. A group's first map fills its
+  /// free places, one in each set of a rank; sent as whole sets, that map took
+  /// 0.48 s to reach 63 ranks over a link of 8 Mbit/s.
   std::vector<ReplacedExpert> Replaced = {};
 };
 
@@ -82,25 +82,25 @@
   FormationEpoch Formation;
   MapVersion Version;
   StepNumber Step;
-  /// With Prepare. Shared, as every rank of a group gets the same.
+  /// With Prepare. Shared, since every rank of a group gets the same map.
   std::shared_ptr<const GroupPlacement> Map;
-  /// Between agents: instead of Map.
+  /// Between agents: replaces Map.
   std::optional<MapDelta> Delta;
 };
 
 enum class MapOrderResult : std::uint8_t {
-  /// Done, begun, or so already.
+  /// Done, begun, or already in this state.
   Done,
-  /// It does not fit the rank's state.
+  /// The order does not fit the rank's state.
   Refused,
   /// A higher fencing token was seen.
   Fenced,
-  /// No answer: it may have been taken, or may be later.
+  /// No reply: the order may have been executed, or may be executed later.
   Unanswered,
 };
 
-/// Member to coordinator: does it work on the group? A coordinator that does
-/// answers with the same message.
+/// A member's query whether the coordinator is working on the group. A
+/// coordinator that is replies with the same message.
 struct LeaderCheck {
   GroupId Group;
 };
--- a/include/ospreyspur/Experts/MapSwitch.h
+++ b/include/ospreyspur/Experts/MapSwitch.h
@@ -1,24 +1,26 @@
 //===- MapSwitch.h - brings a new map into force on a group -----*- C++ -*-===//
 //
-// The coordinator's state machine for one group that the platform forms. All
-// ranks change at one step or none do:
+// The coordinator's state machine for one group that the platform forms. Either
+// all ranks switch to the new map at the same step or none does:
 //
 //   prepare on all -> hold step S on one -> arm for S on all but two -> on the
 //   last but one -> on the coordinator's own -> release S
 //
-// Before its first change a coordinator gives every rank an order that only
-// raises the rank's token, and looks again: from then on no predecessor's order
-// can act, so what a rank is armed for is the latest coordinator's doing.
+// Before its first change, a coordinator sends every rank an order that only
+// raises the rank's fencing token, and then reads the ranks' states again. From
+// then on no order of a predecessor can take effect, so whatever a rank is
+// armed for was ordered by the latest coordinator.
 //
-// While S is held no rank can begin it, so a rank that cannot be armed is no
-// harm: the others are disarmed before the release. Fencing tokens rise with
-// each order, so an order without an answer cannot act after a later one. A
-// coordinator that finds an unfinished change first holds the step on every
-// rank with its own, higher token; then nothing of its predecessor's can act.
-// If the predecessor's host does not answer, its rank cannot be asked. But that
-// rank is armed last and disarmed first: as long as any other is not armed, it
-// is not either. The version tells whose rank that is. Arming one more rank by
-// itself before makes it rare that all others are armed.
+// While S is held no rank can begin it, so a rank that cannot be armed is
+// harmless: the others are disarmed before the release. Fencing tokens rise
+// with each order, so an order without a reply cannot take effect after a later
+// one. A coordinator that finds an unfinished change first holds the step on
+// every rank with its own, higher token; then nothing from its predecessor can
+// take effect. If the predecessor's host does not respond, the state of the
+// rank on that host is unknown. But that rank is armed last and disarmed first:
+// as long as any other rank is not armed, that rank is not armed either. The
+// map's version identifies the rank. Arming one more rank in a stage of its own
+// before the last makes it rare that all others are armed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -39,41 +41,43 @@
 
 namespace ospreyspur {
 
-/// Times of a change.
+/// Timeouts and limits of a change.
 struct SwitchLimits {
-  /// After this time an order without an answer is sent again, with a higher
-  /// token. An answer takes some milliseconds; the group may stand meanwhile.
+  /// Time after which an order without a reply is sent again, with a higher
+  /// token. A reply takes a few milliseconds; the group may be stalled
+  /// meanwhile.
   Duration Resend = std::chrono::milliseconds(40);
-  /// Repeats that may go in that time. While more orders are without an answer,
-  /// each waits longer: answers of a large group come one after the other, and
-  /// copies sent meanwhile would queue before the next order. In a group of 96
-  /// on links of 6 Mbit/s each map went five times, and no change came to its
-  /// end.
+  /// Number of repeated orders that may be sent within Resend. While more
+  /// orders have no reply, each waits longer: the replies of a large group
+  /// arrive one after the other, and copies sent meanwhile would queue ahead of
+  /// the next order. In a group of 96 ranks on links of 6 Mbit/s each map was
+  /// sent five times, and no change completed.
   std::size_t RepeatsPerResend = 8;
-  /// A status older than this says nothing.
+  /// A status older than this is not used.
   Duration StatusAge = std::chrono::milliseconds(1500);
-  /// How long ranks may take to copy experts.
+  /// Time that ranks have for copying experts.
   Duration PrepareTime = std::chrono::seconds(6);
-  /// How long a phase may take before the change is taken back.
+  /// Time that a phase may take before the change is rolled back or abandoned.
   Duration PhaseTime = std::chrono::milliseconds(1200);
-  /// Steps between the present one and the change at least: orders take a few
-  /// milliseconds, a step of a busy group some tens.
+  /// Minimum number of steps between the current one and the change: orders
+  /// take a few milliseconds, a step of a busy group some tens.
   std::uint64_t StepsAhead = 1;
-  /// The change is put off by no more than this for the sake of slow answers.
+  /// Upper bound of the delay that slow replies may add to the change.
   Duration LongestAhead = std::chrono::milliseconds(800);
-  /// Steps tried to hold; a group may be faster than it seemed.
+  /// Number of steps that the coordinator tries to hold; the group may step
+  /// faster than estimated.
   unsigned MaxHolds = 3;
-  /// A rank of which nothing was heard for this time, by a coordinator that has
-  /// led for as long, is out of reach.
+  /// A rank is unreachable if a coordinator that has led for at least this time
+  /// has received nothing from the rank.
   Duration MissingAfter = std::chrono::milliseconds(150);
-  /// Over which the group's speed is measured.
+  /// Window over which the group's step rate is measured.
   Duration StepWindow = std::chrono::milliseconds(300);
 };
 
 enum class SwitchPhase : std::uint8_t {
-  /// Nothing is under way.
+  /// No change is under way.
   Idle,
-  /// Makes void what earlier coordinators ordered, on every rank.
+  /// Invalidates the orders of earlier coordinators on every rank.
   Claiming,
   Preparing,
   Holding,
@@ -87,84 +91,87 @@
   Disarming,
 };
 
-/// Send \c Order to the rank numbered \c Rank.
+/// Send \c Order to rank \c Rank.
 struct SendMapOrder {
   unsigned Rank = 0;
-  /// How often an earlier copy of the order got no answer.
+  /// Number of earlier copies of the order without a reply.
   unsigned Tries = 0;
   MapOrder Order;
 };
 
 using SwitchActions = std::vector<SendMapOrder>;
 
-/// Coordinates the changes of one group.
+/// Coordinates the map changes of one group.
 class MapSwitch {
 public:
   explicit MapSwitch(SwitchLimits limits) : Limits(limits) {}
 
   // Commands.
 
-  /// From now on orders carry tokens that begin with \p lease, a number that
-  /// rises with each holder of the group's lease.
-  /// \p ownRank is the rank on this coordinator's host.
+  /// Begins to lead. Orders carry fencing tokens that begin with \p lease, a
+  /// number that rises with each holder of the group's lease. \p ownRank is the
+  /// rank on this coordinator's host.
   void lead(std::uint64_t lease, unsigned ownRank, TimePoint now);
-  /// Gives no more orders.
+  /// Stops sending orders.
   void resign();
-  /// Takes a rank's state as it stood at \p seen; if it has no placement, the
-  /// one reported before for its map stands.
+  /// Handles the state of a rank at time \p seen. If \p status has no
+  /// placement, the one reported before for the same map remains valid.
   SwitchActions onStatus(unsigned rank, const RankStatus &status,
                          TimePoint seen, TimePoint now);
   SwitchActions onReply(unsigned rank, const MapOrderReply &reply,
                         TimePoint now);
   SwitchActions onTimer(TimePoint now);
-  /// The order \p id to \p rank waits for the link: it is not sent again before
+  /// Order \p id to \p rank waits for the link; it is not sent again before
   /// onSent().
   void onQueued(unsigned rank, MapOrderId id);
-  /// It has been handed to the link.
+  /// Order \p id has been handed to the link.
   void onSent(unsigned rank, MapOrderId id, TimePoint now);
-  /// Begins to bring \p placement into force; only while canBegin().
+  /// Begins to bring \p placement into force; does nothing unless canBegin().
   SwitchActions begin(const GroupPlacement &placement, TimePoint now);
 
   // Queries.
 
-  /// When onTimer() is next needed for an order without an answer.
+  /// When onTimer() is next needed for an order without a reply.
   std::optional<TimePoint> nextTimer() const;
-  /// False before lead() and once a higher fencing token was met.
+  /// False before lead(), after resign() and once a higher fencing token was
+  /// seen.
   bool isLeading() const { return IsLeading; }
   SwitchPhase phase() const { return Phase; }
-  /// Whether the order \p id to \p rank still wants an answer.
+  /// Whether order \p id to \p rank still awaits a reply.
   bool isPending(unsigned rank, MapOrderId id) const;
-  /// Whether a change may begin: the ranks are known and nothing is left over.
+  /// Whether a change may begin: all ranks are known, and no earlier change is
+  /// unfinished.
   bool canBegin(TimePoint now) const;
-  /// Whether every rank of one formation has reported lately.
+  /// Whether every rank has reported recently, all from the same formation.
   bool isComplete(TimePoint now) const;
   /// The experts of every rank, as reported.
   GroupPlacement placement() const;
-  /// How many times slower than usual each rank works, as reported.
+  /// The slowdown of each rank, as reported; 1 is normal speed.
   std::vector<double> paces() const;
-  /// The version under way, or the last one.
+  /// The version of the change under way, or of the last one.
   MapVersion version() const { return Version; }
-  /// How fast the group steps, as last measured.
+  /// The group's step rate, as last measured.
   double stepsPerSecond() const { return StepsPerSecond; }
   /// When the change under way began.
   TimePoint beganAt() const { return BeganAt; }
   const std::map<unsigned, RankStatus> &ranks() const { return Ranks; }
-  /// The number of the lease under which an order with \p token was given.
+  /// The number of the lease under which an order with \p token was sent.
   static std::uint64_t leaseOf(FencingToken token) {
     return token.get() >> OrderBits;
   }
 
 private:
-  /// Room for the orders of one lease holder below its number in a token.
+  /// Bits of a token for the orders of one lease holder; the lease's number is
+  /// in the higher bits.
   static constexpr unsigned OrderBits = 20;
 
   struct Pending {
     MapOrder Order;
     TimePoint SentAt;
-    /// When the first copy went.
+    /// When the first copy was sent.
     TimePoint FirstAt;
     unsigned Tries = 0;
-    /// Whether it waits for the link.
+    /// Whether the order waits for the link.
     bool IsQueued = false;
   };
 
@@ -211,7 +218,7 @@
 
   SwitchLimits Limits;
   bool IsLeading = false;
-  /// Whether a higher token was met under Lease.
+  /// Whether a higher token was seen under Lease.
   bool IsFenced = false;
   std::uint64_t Lease = 0;
   unsigned OwnRank = 0;
@@ -219,28 +226,30 @@
   SwitchPhase Phase = SwitchPhase::Idle;
   TimePoint PhaseAt;
   TimePoint BeganAt;
-  /// Statuses from before this moment are too old to decide by.
+  /// Statuses from before this time are too old to decide by.
   std::optional<TimePoint> SurveySince;
   FormationEpoch Formation;
   MapVersion Version;
   StepNumber Step;
   unsigned HoldTries = 0;
-  /// The slowest answer of this change so far, or half of the one before it.
+  /// The slowest reply of this change so far, or half that of the previous
+  /// change.
   Duration SlowestAnswer{};
-  /// What remains of a phase after the orders under way.
+  /// The stages of the phase that follow the pending orders.
   std::deque<std::vector<PlannedOrder>> Stages;
-  /// Releasing: whether the group will begin the step with Version.
+  /// In Releasing: whether the group will begin the step with Version.
   bool IsChanging = false;
   TimePoint LeadingSince;
-  /// Ranks that have taken an order under this lease since they were formed.
+  /// Ranks that have executed or refused an order under this lease in the
+  /// current formation.
   std::set<unsigned> Claimed;
   FormationEpoch ClaimedIn;
   std::shared_ptr<const GroupPlacement> Wanted;
   std::map<unsigned, RankStatus> Ranks;
   std::map<unsigned, TimePoint> SeenAt;
-  /// Orders of the present phase without a final answer, by rank.
+  /// Orders of the current phase without a final reply, by rank.
   std::map<unsigned, Pending> Orders;
-  /// How fast the group steps.
+  /// Measurement of the group's step rate.
   FormationEpoch StepFormation;
   StepNumber LastStep;
   TimePoint LastStepAt;
--- a/include/ospreyspur/Experts/MemberConsent.h
+++ b/include/ospreyspur/Experts/MemberConsent.h
@@ -1,15 +1,17 @@
-//===- MemberConsent.h - leading a group without the store ------*- C++ -*-===//
+//===- MemberConsent.h - leading during a store outage ----------*- C++ -*-===//
 //
 // Where ranks do not check fencing tokens, a coordinator must know that no
-// other one acts. The store's lease tells it, but not in an outage. Its members
-// tell it, too: each agent follows one coordinator, a candidate that takes the
-// lease stops following at that moment, and an agent refuses the orders of
-// whoever held the lease before one that it has heard of. So for as long as
-// every agent of the group follows it, there is no other. A successor that has
-// not reached every agent waits until its predecessor must have noticed.
+// other coordinator acts. The lease in the key-value store shows this, but not
+// during an outage. The group's members show it, too: each agent follows one
+// coordinator, a candidate that takes the lease stops following at that moment,
+// and an agent refuses the orders of any earlier lease holder once it knows of
+// a later one. While every agent of the group follows a coordinator, there is
+// no other. A successor that has not reached every agent waits until its
+// predecessor must have noticed.
 //
-// A coordinator whose host stood still finds reports that were sent before;
-// they say nothing, so from then on only the store's word counts.
+// After its host was paused, a coordinator may read reports that were sent
+// before the pause. They prove nothing, so from then on only the key-value
+// store's confirmation counts.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,27 +24,27 @@
 
 namespace ospreyspur {
 
-/// Who of a group follows this coordinator.
+/// Tracks which members of a group follow this coordinator.
 class MemberConsent {
 public:
-  /// A coordinator begins a change only if it heard of every agent within this
-  /// time; agents report at least each 0.18 s.
+  /// A coordinator begins a change only if every agent has reported within this
+  /// time; agents report at least every 0.18 s.
   static constexpr Duration Fresh = std::chrono::milliseconds(600);
-  /// A change under way is ended within this time; then it gives no more
-  /// orders.
+  /// A change under way is ended within this time; afterwards the coordinator
+  /// sends no more orders.
   static constexpr Duration Longest = std::chrono::milliseconds(2000);
-  /// How long a successor waits for agents that do not follow it: the
-  /// predecessor's time, and that of an order on its way.
+  /// Time that a successor waits for agents that do not follow it: Longest plus
+  /// the time of an order in transit.
   static constexpr Duration SuccessorWait = std::chrono::milliseconds(3000);
 
   /// A host that did nothing for this time may have been frozen.
   static constexpr Duration Pause = std::chrono::milliseconds(500);
 
-  /// This process is at work; call it before anything is decided.
+  /// Records that this process is running; must be called before any decision.
   void onAlive(TimePoint now);
-  /// The store has said that the lease still stands.
+  /// The key-value store has confirmed that the lease is still valid.
   void onConfirmed() { IsVoid = false; }
-  /// The agent of \p rank reported to this coordinator.
+  /// The agent of \p rank has reported to this coordinator.
   void onReport(unsigned rank, TimePoint now) { HeardAt[rank] = now; }
   void clear() { HeardAt.clear(); }
 
@@ -52,15 +54,15 @@
 private:
   std::map<unsigned, TimePoint> HeardAt;
   TimePoint AliveAt;
-  /// Whether reports may be from before a pause.
+  /// Whether reports may date from before a pause.
   bool IsVoid = true;
 };
 
-/// Refuses an agent's orders of coordinators before the latest one known.
+/// Refuses orders that were sent by coordinators before the latest one known.
 class OrderGate {
 public:
-  /// Whether to pass on an order that was given under \p lease, where \p newest
-  /// is the newest holder that the store has told of.
+  /// Whether to pass on an order that was sent under \p lease; \p newest is the
+  /// newest holder known from the key-value store.
   bool accepts(std::uint64_t lease, std::uint64_t newest);
 
 private:
--- a/include/ospreyspur/Experts/OrderLane.h
+++ b/include/ospreyspur/Experts/OrderLane.h
@@ -1,10 +1,10 @@
 //===- OrderLane.h - paces maps on a coordinator's link ---------*- C++ -*-===//
 //
-// A map goes to every rank of a group. Handed to the link at once, a large
-// group's maps keep it busy for a second, and what must not wait stands behind
-// them: the hold of a step, the renewal of the lease, answers. So maps wait
-// here and go at a part of the link's rate; all other orders are small and pass
-// them.
+// A map goes to every rank of a group. Handed to the link all at once, the maps
+// of a large group occupy it for a second and delay urgent messages: the hold
+// of a step, the renewal of the lease, replies. Maps therefore queue here and
+// use only part of the link's rate; all other orders are small and bypass the
+// queue.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,39 +20,40 @@
 
 namespace ospreyspur {
 
-/// Orders that wait for the link, in the order of their arrival.
+/// Orders that wait for the link, in order of arrival.
 class OrderLane {
 public:
-  /// Timers fire late; what was missed by less than this is made up for.
+  /// Timers fire late; a delay of up to this time is caught up.
   static constexpr Duration Burst = std::chrono::milliseconds(20);
 
-  /// \p bytesPerSecond: what the lane may take of the link; 0 for no bound.
+  /// \p bytesPerSecond is the part of the link's rate that the queue may use; 0
+  /// for no limit.
   explicit OrderLane(double bytesPerSecond) : BytesPerSecond(bytesPerSecond) {}
 
-  /// Whether \p order is large enough to wait here.
+  /// Whether \p order is large enough to be queued.
   static bool mustWait(const MapOrder &order) { return order.Map != nullptr; }
 
   // Commands.
 
-  /// Takes \p order in place of an earlier one to the same rank.
+  /// Queues \p order in place of an earlier one to the same rank.
   void push(SendMapOrder order);
-  /// Whatever waits for \p rank is void.
+  /// Discards the order that waits for \p rank.
   void drop(unsigned rank);
-  /// The order to send now, if the link has room for one; what it takes of the
-  /// link has to be told by onSent().
+  /// The order to send now, if the link has capacity. The caller reports its
+  /// size by onSent().
   std::optional<SendMapOrder> pop(TimePoint now);
   /// \p bytes have been handed to the link.
   void onSent(std::size_t bytes, TimePoint now);
 
   // Queries.
 
-  /// When pop() next has something to give.
+  /// When pop() can next return an order.
   std::optional<TimePoint> nextTimer() const;
 
 private:
   double BytesPerSecond;
   std::deque<SendMapOrder> Waiting;
-  /// When what was sent will have left.
+  /// When the bytes sent so far will have left the link.
   TimePoint FreeAt;
 };
 
--- a/include/ospreyspur/Experts/PlacementPlanner.h
+++ b/include/ospreyspur/Experts/PlacementPlanner.h
@@ -1,9 +1,10 @@
 //===- PlacementPlanner.h - which experts each rank should hold -*- C++ -*-===//
 //
-// Improves a group's placement step by step: each step copies one expert of a
-// hot rank to a cooler one. Copies take time on the rank's link, so a plan has
-// few of them; the next plan goes on from there. A slow rank counts as loaded
-// by as much more, and may give experts up that others hold too.
+// Improves a group's placement step by step; each step copies one expert from a
+// heavily loaded rank to a less loaded one. Copies occupy the rank's link, so a
+// plan contains few of them and the next plan continues from there. A slow rank
+// counts as proportionally more loaded, and may drop experts that other ranks
+// also hold.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,20 +18,20 @@
 
 namespace ospreyspur {
 
-/// What bounds a plan.
+/// Limits of a plan.
 struct PlacementLimits {
   /// Experts that a rank may hold in each set.
   std::size_t Places = 1;
-  /// New experts that one change may bring to a rank in each set.
+  /// Number of new experts that one change may bring to a rank in each set.
   std::size_t NewPerSet = 1;
-  /// New experts that one change may bring to a rank in all sets: its link
-  /// copies one after the other.
+  /// Number of new experts that one change may bring to a rank in all sets
+  /// together: the rank's link copies them one after the other.
   std::size_t NewPerRank = 4;
-  /// Smallest gain that a copy is worth, as part of a set's mean load.
+  /// Minimum gain of a copy, as a fraction of a set's mean load.
   double MinGain = 0.02;
 };
 
-/// A better placement.
+/// An improved placement.
 struct PlacementPlan {
   GroupPlacement Placement;
   std::size_t Copies = 0;
@@ -44,9 +45,9 @@
 public:
   explicit PlacementPlanner(PlacementLimits limits) : Limits(limits) {}
 
-  /// The placement to use after \p current for \p demand, which has the same
-  /// number of experts for each set. \p paces tells how many times slower than
-  /// usual each rank works; empty if all work as usual.
+  /// The placement that follows \p current for \p demand, which has the same
+  /// number of experts for each set. \p paces gives the slowdown of each rank;
+  /// empty if all ranks run at normal speed.
   PlacementPlan plan(const GroupPlacement &current,
                      const std::vector<double> &demand,
                      const std::vector<double> &paces = {}) const;
--- a/include/ospreyspur/Experts/RankCodec.h
+++ b/include/ospreyspur/Experts/RankCodec.h
@@ -1,6 +1,6 @@
 //===- RankCodec.h - an engine's orders and state as JSON -------*- C++ -*-===//
 //
-// The form in which an agent and its engine speak about map changes.
+// The messages between an agent and its engine about map changes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,15 +15,15 @@
 
 namespace ospreyspur {
 
-/// The path at which an engine takes orders.
+/// The HTTP path at which an engine accepts orders.
 inline constexpr char RankOrderPath[] = "/rank/orders";
 
 std::string formatRankOrder(const RankOrder &order);
 std::string formatRankReply(const RankReply &reply);
 
-/// Reads formatRankOrder()'s text. Errors: BadRequest.
+/// Parses the output of formatRankOrder(). Errors: BadRequest.
 Result<RankOrder> parseRankOrder(std::string_view text);
-/// Reads formatRankReply()'s text. Errors: BadRequest.
+/// Parses the output of formatRankReply(). Errors: BadRequest.
 Result<RankReply> parseRankReply(std::string_view text);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Experts/RankState.h
+++ b/include/ospreyspur/Experts/RankState.h
@@ -1,8 +1,8 @@
-//===- RankState.h - what a rank's engine knows of map changes --*- C++ -*-===//
+//===- RankState.h - an engine's state of map changes -----------*- C++ -*-===//
 //
-// The engine is where promises are kept: it outlives its agent, so an agent
-// that is started again reads from here what was promised before. The orders
-// are the agent's way to change it.
+// The engine stores the promises: it outlives its agent, so a restarted agent
+// reads from the engine what was promised before. The agent changes this state
+// only by orders.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,14 +16,14 @@
 
 namespace ospreyspur {
 
-/// A promise not to start \c Step before the attempt's outcome is known.
+/// A promise not to start \c Step before the outcome of \c Attempt is known.
 struct ArmedChange {
   ChangeAttempt Attempt;
   MapVersion Version;
   StepNumber Step;
 };
 
-/// An engine's report.
+/// The state that an engine reports.
 struct RankState {
   /// 0 until the engine has joined a generation.
   Generation GroupGeneration;
@@ -33,26 +33,27 @@
   StepNumber Step;
   /// The map in use.
   MapVersion Running;
-  /// The map in the spare slots; 0 for none.
+  /// The map loaded into the spare slots; 0 for none.
   MapVersion Spare;
   std::optional<ArmedChange> Armed;
   /// Whether a committed switch waits for its step.
   bool IsSwitching = false;
-  /// Every attempt up to this one, but for the armed and the last committed
-  /// one, is refused for good.
+  /// Every attempt up to this one is refused permanently, except the armed one
+  /// and the last committed one.
   ChangeAttempt RefusedThrough;
   ChangeAttempt LastCommitted;
-  /// The highest epoch of any order taken.
+  /// The highest epoch of any order accepted.
   Epoch HighestEpoch;
-  /// In a report: tokens by layer and slot since the last report.
+  /// In a report: tokens by layer and slot since the previous report.
   std::vector<std::uint32_t> SlotTokens;
 };
 
-/// What an agent asks of its engine.
+/// The orders that an agent sends to its engine.
 enum class RankOrderKind : std::uint8_t {
   Report,
   Join,
-  /// Begin to load the map into the spare slots; done when State.Spare says.
+  /// Begin to load the map into the spare slots; complete once State.Spare
+  /// shows the map's version.
   Load,
   Arm,
   /// Never arm for the attempt or an earlier one.
@@ -75,7 +76,7 @@
   std::vector<EndpointId> Members;
 };
 
-/// An engine's answer: whether it did what was asked, and its state since.
+/// An engine's reply: whether the order was executed, and the state afterwards.
 struct RankReply {
   bool IsDone = false;
   RankState State;
--- a/include/ospreyspur/Experts/RankStatus.h
+++ b/include/ospreyspur/Experts/RankStatus.h
@@ -1,4 +1,4 @@
-//===- RankStatus.h - what one rank of a group reports ----------*- C++ -*-===//
+//===- RankStatus.h - one rank's status report ------------------*- C++ -*-===//
 //
 // The state of one rank of a group that the platform forms.
 //
@@ -17,8 +17,8 @@
 
 namespace ospreyspur {
 
-/// Counts the times that the platform has formed a group; all that ranks have
-/// prepared, armed or held is gone with each.
+/// Counts how often the platform has formed the group. Whatever ranks have
+/// prepared, armed or held is lost with each formation.
 using FormationEpoch = StrongType<struct FormationEpochTag, std::uint64_t>;
 
 /// An expert's number within its set of layers.
@@ -26,11 +26,11 @@
 /// The experts of one rank, by set of layers.
 using RankPlacement = std::vector<std::vector<ExpertNumber>>;
 
-/// When a rank's engine started, in ms of the time of day; 0 if it does not
-/// say. Tells its lives apart.
+/// When a rank's engine started, in ms since the Unix epoch; 0 if unknown.
+/// Distinguishes the incarnations of the engine.
 using RankLife = StrongType<struct RankLifeTag, std::uint64_t>;
 
-/// A map that a rank will take as a step begins.
+/// A map to which a rank will switch when a step begins.
 struct ArmedMap {
   MapVersion Version;
   StepNumber Step;
@@ -38,37 +38,38 @@
   friend bool operator==(const ArmedMap &, const ArmedMap &) = default;
 };
 
-/// One rank's own view, as it stood when it answered.
+/// One rank's own view at the time of its report.
 struct RankStatus {
   GroupId Group;
   RankLife Life;
   FormationEpoch Formation;
-  /// From 0.
+  /// Counted from 0.
   unsigned Rank = 0;
-  /// Ranks of the group.
+  /// Number of ranks in the group.
   unsigned Size = 0;
-  /// Whether the group takes requests.
+  /// Whether the group accepts requests.
   bool IsOpen = false;
-  /// Requests that run here.
+  /// Number of requests running on this rank.
   unsigned Running = 0;
   /// The last step that began.
   StepNumber Step;
   MapVersion Map;
   std::optional<MapVersion> Prepared;
   std::optional<ArmedMap> Armed;
-  /// The group does not begin this step before it is released.
+  /// The group does not begin this step before the step is released.
   std::optional<StepNumber> Held;
-  /// Times that each expert was chosen since the rank started, set by set;
-  /// empty if not asked for. Stays on the rank's host.
+  /// How often each expert was chosen since the rank started, set by set; empty
+  /// if not requested. Stays on the rank's host.
   std::vector<std::uint64_t> Counts;
-  /// Times that each expert was chosen since the report before; empty if the
-  /// report has none.
+  /// How often each expert was chosen since the previous report; empty if the
+  /// report contains no sample.
   std::vector<std::uint32_t> Picks;
-  /// How many times slower than usual the rank works; 1 if as usual.
+  /// Slowdown of the rank; 1 is normal speed.
   double Pace = 1;
-  /// The experts that it holds under Map; empty if reported before.
+  /// The experts that the rank holds under Map; empty if reported before.
   RankPlacement Placement;
-  /// Where it takes orders; set by the agent on its host.
+  /// The address at which the rank accepts orders; set by the agent on its
+  /// host.
   std::string Endpoint;
 };
 
--- a/include/ospreyspur/Experts/ReachPlanner.h
+++ b/include/ospreyspur/Experts/ReachPlanner.h
@@ -1,12 +1,13 @@
-//===- ReachPlanner.h - which ranks to read past their agents ---*- C++ -*-===//
+//===- ReachPlanner.h - direct reads of ranks -------------------*- C++ -*-===//
 //
-// An agent that froze or died must not keep its group from changing maps, so a
-// coordinator reads the ranks of silent agents itself. That is meant for a few
-// agents. When most are silent the fault is more likely this host's own link,
-// and whatever is sent then fills it further: a coordinator of 96 ranks that
-// asked all of them never came to hear its members again. So what is read in a
-// round is bounded, and nothing is while most are silent, but for the time that
-// members need to find a new coordinator.
+// A frozen or crashed agent must not prevent its group from changing maps, so
+// the coordinator bypasses silent agents and reads their ranks directly. That
+// is meant for a few agents. When most agents are silent, the fault is more
+// likely in this host's own link, and further requests only fill that link: a
+// coordinator of 96 ranks that queried all of them never received its members'
+// reports again. The number of reads per round is therefore limited, and there
+// are none while most agents are silent, except for the time that members need
+// to find a new coordinator.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,36 +24,37 @@
 
 namespace ospreyspur {
 
-/// Plans the reads of one group's coordinator.
+/// Plans the direct reads of one group's coordinator.
 class ReachPlanner {
 public:
-  /// After this time without a report an agent's rank is read from here.
+  /// An agent's rank is read directly after this time without a report.
   static constexpr Duration SilenceOfAgent = std::chrono::milliseconds(400);
-  /// Between two rounds of reads.
+  /// Interval between two rounds of reads.
   static constexpr Duration RoundEvery = std::chrono::milliseconds(200);
-  /// Reads of a round. With 0.7 KB each, as estimated, 56 KB a second: a
-  /// thirteenth of a link of 6 Mbit/s.
+  /// Number of reads in a round. With an estimated 0.7 KB each, they take 56 KB
+  /// a second: a thirteenth of a link of 6 Mbit/s.
   static constexpr std::size_t MostInRound = 16;
-  /// Members look for their coordinator each 1.5 s.
+  /// Time after the start of leading during which direct reads are always
+  /// allowed: members look for their coordinator every 1.5 s.
   static constexpr Duration JoinTime = std::chrono::milliseconds(2000);
-  /// Between two reads of the list of endpoints.
+  /// Interval between two reads of the list of endpoints.
   static constexpr Duration ListEvery = std::chrono::milliseconds(1000);
 
   // Commands.
 
-  /// The agent has come to lead.
+  /// This agent has become the coordinator.
   void lead(TimePoint now) { LedSince = now; }
   /// The agent of \p rank, whose endpoint is at \p address, has reported.
   void onHeard(unsigned rank, const TcpAddress &address, TimePoint now);
   /// \p address belongs to \p rank of this group.
   void onFound(unsigned rank, const TcpAddress &address);
-  /// \p address belongs to another group, or to none.
+  /// \p address belongs to another group or to none.
   void onOther(const TcpAddress &address) { Others.insert(address); }
-  /// The addresses at which ranks may be found.
+  /// Sets the addresses at which ranks may be found.
   void setCandidates(std::vector<TcpAddress> addresses);
-  /// The addresses to read now, in a group of \p size.
+  /// The addresses to read now, in a group of \p size ranks.
   std::vector<TcpAddress> take(unsigned size, TimePoint now);
-  /// Whether the list of endpoints is wanted for setCandidates() now.
+  /// Whether the list of endpoints is needed for setCandidates() now.
   bool takeListQuestion(unsigned size, TimePoint now);
 
   // Queries.
@@ -70,7 +72,7 @@
   TimePoint LedSince;
   TimePoint NextRound;
   TimePoint NextList;
-  /// Where the next round goes on.
+  /// Where the next round continues.
   std::size_t Turn = 0;
 };
 
--- a/include/ospreyspur/Experts/SetPlacement.h
+++ b/include/ospreyspur/Experts/SetPlacement.h
@@ -1,7 +1,7 @@
 //===- SetPlacement.h - one set of layers on a group's ranks ----*- C++ -*-===//
 //
-// Where the experts of one set are, how loaded that makes each rank, and which
-// copy would help most.
+// The placement of one set's experts, the resulting load of each rank, and the
+// most useful next copy.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,26 +16,28 @@
 
 namespace ospreyspur {
 
-/// Copy \c Expert to \c Rank, or have the rank only give \c Evicted up.
+/// Copy \c Expert to \c Rank, or only drop \c Evicted from the rank.
 struct ExpertCopy {
   unsigned Rank = 0;
   std::optional<ExpertNumber> Expert;
-  /// The expert that makes room; none if there is a free place.
+  /// The expert that is dropped for the copy; none if there is a free place.
   std::optional<ExpertNumber> Evicted;
-  /// By how much the set's load measure falls, in mean loads.
+  /// Reduction of the set's load measure, in units of the mean load.
   double Gain = 0;
 };
 
-/// One set.
+/// The placement of one set of layers.
 class SetPlacement {
 public:
-  /// \p ranks holds each rank's experts; \p demand that for each expert;
-  /// \p paces how many times slower each rank works, empty if none does.
+  /// \p ranks holds each rank's experts, \p demand the demand for each expert
+  /// and \p paces the slowdown of each rank; empty if all ranks run at normal
+  /// speed.
   SetPlacement(std::vector<std::vector<ExpertNumber>> ranks,
                std::vector<double> demand, std::vector<double> paces = {});
 
-  /// The copy with the highest gain to a rank that \p mayTake one more, if any
-  /// gains; no rank holds more than \p places.
+  /// The copy with the highest gain to a rank for which \p mayTake returns
+  /// true; none if no copy has a gain. No rank holds more than \p places
+  /// experts.
   std::optional<ExpertCopy>
   findCopy(std::size_t places,
            const std::function<bool(unsigned)> &mayTake) const;
@@ -68,15 +70,14 @@
     double Load = 0;
   };
 
-  /// The demand that each rank bears, times its pace.
-  /// A copy that is tried changes the loads of a few ranks only; they are put
-  /// back after it.
+  /// Each rank's share of the demand, times its slowdown. Evaluating a copy
+  /// changes the loads of a few ranks only; they are restored afterwards.
   mutable std::vector<double> Loads;
   mutable std::vector<Touched> Undo;
-  /// The sum of the loads' eighth powers.
+  /// The sum of the eighth powers of Loads.
   mutable double Sum = 0;
   double Mean = 0;
-  /// The load measure of Loads.
+  /// The load measure of Loads: the eighth root of Sum.
   double Measure = 0;
 };
 
--- a/include/ospreyspur/Experts/StallWatch.h
+++ b/include/ospreyspur/Experts/StallWatch.h
@@ -1,7 +1,7 @@
-//===- StallWatch.h - a group that stands still -----------------*- C++ -*-===//
+//===- StallWatch.h - detects a stalled group -------------------*- C++ -*-===//
 //
-// Notices that a rank has requests and its group begins no step: a coordinator
-// that died or froze may have left a step held.
+// Detects that a rank has requests but its group begins no step: a coordinator
+// that crashed or froze may have left a step held.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,14 +18,16 @@
 /// Watches one rank.
 class StallWatch {
 public:
-  /// A step of a busy group takes a tenth of a second, a held one of a sound
+  /// A step of a busy group takes a tenth of a second, a step held by a healthy
   /// change little more.
   static constexpr Duration Patience = std::chrono::milliseconds(450);
-  /// Bound for a group whose steps are slow, as those of a slow rank are.
+  /// Upper bound for a group whose steps are slow, such as one with a slow
+  /// rank.
   static constexpr Duration LongestPatience = std::chrono::milliseconds(2000);
 
-  /// Takes the rank's state. True once the group has stood for Patience, or for
-  /// twice its last step if that was slower.
+  /// Handles the rank's state. Returns true once the group has begun no step
+  /// for Patience, or for twice the duration of its last step if that is
+  /// longer.
   bool isStalled(const RankStatus &status, TimePoint now) {
     bool isSame = IsKnown && status.Formation == Formation;
     bool hasMoved = !isSame || status.Step != Step;
@@ -41,7 +43,7 @@
     return now - Since >= std::clamp(2 * LastStep, Patience, LongestPatience);
   }
 
-  /// Counts anew from \p now.
+  /// Restarts the measurement at \p now.
   void reset(TimePoint now) { Since = now; }
 
 private:
@@ -49,7 +51,7 @@
   FormationEpoch Formation;
   StepNumber Step;
   TimePoint Since;
-  /// How long the group's last step took.
+  /// Duration of the group's last step.
   Duration LastStep{};
 };
 
--- a/include/ospreyspur/Experts/StatusFilter.h
+++ b/include/ospreyspur/Experts/StatusFilter.h
@@ -1,8 +1,9 @@
-//===- StatusFilter.h - which states a coordinator needs to hear *- C++ -*-===//
+//===- StatusFilter.h - limits reports to the coordinator -------*- C++ -*-===//
 //
-// A rank's state is read at about every step. Its coordinator is told when more
-// than the step has changed, and otherwise only often enough to know that the
-// rank can be reached: what it receives must not grow with the group.
+// A rank's state is read at about every step. The coordinator receives the
+// state when more than the step has changed, and otherwise only often enough to
+// show that the rank is reachable: the traffic that a coordinator receives must
+// not grow with the group.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,15 +21,16 @@
 /// Filters the states of one rank.
 class StatusFilter {
 public:
-  /// Under half of the silence after which a coordinator reads a rank itself.
+  /// Less than half of ReachPlanner::SilenceOfAgent, the silence after which a
+  /// coordinator reads a rank directly.
   static constexpr Duration Heartbeat = std::chrono::milliseconds(180);
 
-  /// What to tell the coordinator at \p address of \p status, if anything. The
-  /// placement is left out where the coordinator has been told it.
+  /// The report to send to the coordinator at \p address for \p status, if any.
+  /// The placement is omitted if the coordinator has received it.
   std::optional<RankStatus> filter(const RankStatus &status,
                                    const std::string &address, TimePoint now);
 
-  /// What was told before may not have arrived.
+  /// Called when the previous report may not have arrived.
   void reset() { Told.reset(); }
 
 private:
--- a/lib/Experts/ChangeBudget.cpp
+++ b/lib/Experts/ChangeBudget.cpp
@@ -1,4 +1,4 @@
-//===- ChangeBudget.cpp - how much one change of a map may bring ----------===//
+//===- ChangeBudget.cpp - size limits of a map change ---------------------===//
 //
 // See ChangeBudget.h.
 //
--- a/lib/Experts/CoordinatorWatch.cpp
+++ b/lib/Experts/CoordinatorWatch.cpp
@@ -1,4 +1,4 @@
-//===- CoordinatorWatch.cpp - may a member take its group over? -----------===//
+//===- CoordinatorWatch.cpp - when to take a coordinator over -------------===//
 //
 // See CoordinatorWatch.h.
 //
@@ -10,7 +10,7 @@
 
 using namespace ospreyspur;
 
-/// How long an answer counts.
+/// A reply is valid for this time.
 static constexpr Duration TrustTime = std::chrono::milliseconds(300);
 
 StallAdvice CoordinatorWatch::onStalled(const std::string &holder,
--- a/lib/Experts/DemandMeter.cpp
+++ b/lib/Experts/DemandMeter.cpp
@@ -1,4 +1,4 @@
-//===- DemandMeter.cpp - which experts are in demand now ------------------===//
+//===- DemandMeter.cpp - current demand for each expert -------------------===//
 //
 // See DemandMeter.h.
 //
@@ -52,7 +52,7 @@
          now - ChangedAt >= Limits.LongestSettling;
 }
 
-/// The longer the demand has been alike, the further back it is known by.
+/// The longer the demand has been stable, the longer older samples count.
 void DemandMeter::fade(TimePoint now) {
   Duration alike = Changes == 0 ? Limits.HalfLife : now - ChangedAt;
   Duration halfLife =
@@ -69,7 +69,7 @@
          apart > Limits.UsualFactor * Usual;
 }
 
-/// Begins the sum anew if the last samples contradict it.
+/// Restarts the sum if the recent samples contradict it.
 void DemandMeter::compare(TimePoint now) {
   double apart = distance();
   bool isChange = isContradicted(apart);
@@ -79,7 +79,7 @@
     return;
   ++Changes;
   ChangedAt = now;
-  // The older ones are more of what was.
+  // Older samples contain more of the demand from before the shift.
   std::size_t kept = std::min(Last.size(), Limits.KeptAtChange);
   Last.erase(Last.begin(), Last.end() - std::ptrdiff_t(kept));
   SinceChange = Last.size();
@@ -89,7 +89,7 @@
   Demand = LastSum;
 }
 
-/// The part of the demand in which the last samples and those before differ.
+/// The fraction of the demand by which the recent and the older samples differ.
 double DemandMeter::distance() const {
   double recent = sumOf(LastSum);
   double before = total() - recent;
--- a/lib/Experts/DemandSampler.cpp
+++ b/lib/Experts/DemandSampler.cpp
@@ -1,4 +1,4 @@
-//===- DemandSampler.cpp - what a rank tells of its demand ----------------===//
+//===- DemandSampler.cpp - samples of a rank's demand ---------------------===//
 //
 // See DemandSampler.h.
 //
@@ -28,7 +28,7 @@
   Duration window = std::min(every, Limits.Window);
   if (!isSameCount(status)) {
     begin(status);
-    // Members of a group that start together tell one after the other.
+    // Members of a group that start together send their samples in turn.
     Duration turn = every * status.Rank / std::max(status.Size, 1U);
     IsSampling = turn < Limits.Shortest;
     NextAt = now + (IsSampling ? window : turn);
@@ -56,7 +56,7 @@
   return out;
 }
 
-/// How long \p bytes take at \p bytesPerSecond.
+/// The time that sending \p bytes takes at \p bytesPerSecond.
 Duration DemandSampler::spread(double bytes, double bytesPerSecond) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(bytes / bytesPerSecond));
--- a/lib/Experts/ExpertMap.cpp
+++ b/lib/Experts/ExpertMap.cpp
@@ -1,7 +1,7 @@
-//===- ExpertMap.cpp - building, judging and writing maps -----------------===//
+//===- ExpertMap.cpp - building, checking and encoding maps ---------------===//
 //
-// The text form is "<layers> <experts> <ranks> <slots> " and four hex digits
-// for each slot.
+// The text form is "<layers> <experts> <ranks> <slots> " followed by four hex
+// digits per slot.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,10 +31,10 @@
 std::string ospreyspur::findMapFault(const ExpertMap &map) {
   const MapShape &shape = map.Shape;
   if (map.Slots.size() != shape.Layers)
-    return "the map has another number of layers";
+    return "the map's number of layers does not match its shape";
   for (const auto &layer : map.Slots) {
     if (layer.size() != shape.slotsPerLayer())
-      return "a layer has another number of slots";
+      return "a layer's number of slots does not match the map's shape";
     std::vector<bool> isPlaced(shape.Experts, false);
     for (std::size_t rank = 0; rank < shape.Ranks; ++rank) {
       auto first = layer.begin() + std::ptrdiff_t(rank * shape.SlotsPerRank);
@@ -43,7 +43,7 @@
       if (onRank.size() < shape.SlotsPerRank)
         return "a rank holds an expert twice";
       if (*onRank.rbegin() >= shape.Experts)
-        return "an expert's number is out of range";
+        return "an expert's index is out of range";
       for (ExpertIndex it : onRank)
         isPlaced[it] = true;
     }
@@ -80,7 +80,7 @@
 
 std::size_t ospreyspur::countMoves(const ExpertMap &before,
                                    const ExpertMap &after) {
-  // The place of an expert among a rank's slots does not matter.
+  // The order of experts within a rank's slots does not matter.
   std::size_t moves = 0;
   std::size_t slots = after.Shape.SlotsPerRank;
   for (std::size_t layer = 0; layer < after.Shape.Layers; ++layer)
--- a/lib/Experts/ExpertPlanner.cpp
+++ b/lib/Experts/ExpertPlanner.cpp
@@ -1,9 +1,9 @@
-//===- ExpertPlanner.cpp - the next map for a drifting demand -------------===//
+//===- ExpertPlanner.cpp - plans maps for a drifting demand ---------------===//
 //
-// Each layer is improved step by step, and each step is noted with the moves
-// and the skew so far. The lower hull of these points tells what skew a number
-// of moves buys at best. Layers then compete for the budget by the steepness of
-// their hulls.
+// Each layer is improved step by step, and each step is recorded with the moves
+// and the imbalance so far. The lower convex hull of these points gives the
+// lowest imbalance that a number of moves can achieve. The layers then compete
+// for the budget by the slopes of their hulls.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,14 +21,15 @@
 struct PathPoint {
   std::size_t Moves = 0;
   double Skew = 1;
-  /// How many of the path's changes were made.
+  /// Number of the path's changes that were applied.
   std::size_t Changes = 0;
 };
 
 /// The changes that improve one layer, in order.
 struct LayerPath {
   std::vector<LayerChange> Changes;
-  /// The corners of the lower hull of (moves, skew), from the present layer on.
+  /// The corners of the lower hull of (moves, imbalance), starting at the
+  /// current layer.
   std::vector<PathPoint> Hull;
 };
 
@@ -37,7 +38,7 @@
   std::size_t Layer = 0;
   std::size_t Corner = 0;
   std::size_t Moves = 0;
-  /// Skew saved by each move.
+  /// Imbalance saved per move.
   double Worth = 0;
 };
 } // namespace
@@ -46,7 +47,7 @@
   return (from.Skew - to.Skew) / static_cast<double>(to.Moves - from.Moves);
 }
 
-/// Adds \p point and drops corners that it makes pointless.
+/// Adds \p point and drops corners that are then no longer on the hull.
 static void extendHull(std::vector<PathPoint> &hull, PathPoint point) {
   if (point.Skew >= hull.back().Skew)
     return;
@@ -56,7 +57,8 @@
   hull.push_back(point);
 }
 
-/// Improves one layer until the next change would save less than \p minWorth.
+/// Improves one layer until the next change would save less than \p minWorth
+/// per move.
 static LayerPath findPath(LayerPlanner layer, double minWorth) {
   LayerPath path;
   path.Hull.push_back({0, layer.skew(), 0});
@@ -72,7 +74,7 @@
   return path;
 }
 
-/// All layers' steps that are worth \p minWorth, the most worthwhile first.
+/// All layers' steps worth more than \p minWorth, the most worthwhile first.
 static std::vector<HullStep> rankSteps(const std::vector<LayerPath> &paths,
                                        double minWorth) {
   std::vector<HullStep> steps;
@@ -92,7 +94,8 @@
 
 MapPlan ExpertPlanner::plan(const ExpertMap &current,
                             const ExpertDemand &demand) const {
-  assert(demand.size() == current.Shape.Layers && "one demand a layer");
+  assert(demand.size() == current.Shape.Layers &&
+         "the demand must have one entry per layer");
   double minWorth = Weights.Move / Weights.Skew;
   std::vector<LayerPath> paths;
   for (std::size_t i = 0; i < current.Shape.Layers; ++i)
--- a/lib/Experts/GroupCoordinator.cpp
+++ b/lib/Experts/GroupCoordinator.cpp
@@ -1,7 +1,7 @@
-//===- GroupCoordinator.cpp - leads a group's map changes -----------------===//
+//===- GroupCoordinator.cpp - coordinates map changes ---------------------===//
 //
-// One phase at a time. A phase sends its order to every member that has not
-// answered, again and again, until all have or its time is up.
+// Runs one phase at a time. A phase repeats its order to every member that has
+// not replied, until all members have replied or the phase times out.
 //
 //===----------------------------------------------------------------------===//
 
@@ -72,7 +72,7 @@
     resend(now);
 }
 
-/// Sends the present phase's order to whoever has not answered.
+/// Sends the current phase's order to all members that have not replied.
 void GroupCoordinator::resend(TimePoint now) {
   ResendAt = now + Limits.Resend;
   switch (Phase) {
@@ -86,7 +86,8 @@
   case Phases::Reforming:
   case Phases::Proposing:
   case Phases::Recording:
-    // A write whose answer is lost is settled by reading the record.
+    // If the reply to a write is lost, reading the record shows whether the
+    // write succeeded.
     ResendAt = now + Limits.Lease.CallTimeout;
     callPlatform(KvPut{recordKey(Group), formatRecord(Writing), RecordAt, {}});
     return;
@@ -136,7 +137,7 @@
 }
 
 GroupActions GroupCoordinator::onReply(const GroupReply &reply, TimePoint now) {
-  // Act only while the own clock says that the lease stands.
+  // Act only while the local clock shows that the lease is valid.
   if (!Lease.isHeld(now) || Phase == Phases::Following)
     return takeActions();
   HighestStep = std::max(HighestStep, reply.Step);
@@ -144,7 +145,7 @@
   bool needsAll = Phase == Phases::Loading || Phase == Phases::Arming ||
                   Phase == Phases::Settling || Phase == Phases::Committing;
   if (!isCurrent && needsAll) {
-    // An engine was lost, and with it what it had promised in this generation.
+    // An engine restarted and lost its promises of this generation.
     enter(Phases::Surveying, now);
     return takeActions();
   }
@@ -166,7 +167,7 @@
     if (!isCurrent || reply.Attempt != Attempt)
       break;
     if (reply.Kind == GroupReplyKind::LoadFailed) {
-      // Do not try the same map again and again; the planner may ask anew.
+      // Do not retry the same map repeatedly; the planner may propose it again.
       if (Wanted == Record.Proposed->Map)
         Wanted.reset();
       enter(Phases::Idle, now);
@@ -198,7 +199,8 @@
   return takeActions();
 }
 
-/// A member's word on the attempt: one refusal aborts it, all armed commits it.
+/// Handles a member's vote: one refusal aborts the attempt, the arming of all
+/// members commits it.
 void GroupCoordinator::onVote(const GroupReply &reply, TimePoint now) {
   switch (reply.Kind) {
   case GroupReplyKind::Armed:
@@ -224,14 +226,15 @@
     enter(Phases::Committing, now);
     return;
   }
-  // An attempt of before the present record: its members finish it, and the
-  // next survey sees what they run.
+  // The attempt precedes the current record: its members finish it, and the
+  // next survey shows which map they run.
   Answers.clear();
   sendToSilent(GroupOrderKind::Commit);
   enter(Phases::Idle, now);
 }
 
-/// The members' states are known: settle what an earlier coordinator began.
+/// Called when all members' states are known: settles what an earlier
+/// coordinator began.
 void GroupCoordinator::onSurveyed(TimePoint now) {
   std::optional<ChangeAttempt> armed;
   bool isProposedRunning = false;
@@ -279,7 +282,7 @@
 void GroupCoordinator::propose(TimePoint now) {
   GroupRecord next = Record;
   next.Attempt = ChangeAttempt(Record.Attempt.get() + 1);
-  // Versions are numbered by attempts: both are never used twice.
+  // Versions are numbered by attempts; neither number is ever reused.
   next.Proposed = NumberedMap{MapVersion(next.Attempt.get()), *Wanted};
   writeRecord(std::move(next), Phases::Proposing, now);
 }
@@ -294,18 +297,19 @@
     return;
   case Phases::Surveying:
   case Phases::Joining:
-    // Whoever is silent may have left the group.
+    // Silent members may have left the group.
     PhaseEnd = now + Limits.PhasePatience;
     if (Record.Members != Members)
       beginGeneration(now);
     return;
   case Phases::Settling:
   case Phases::Committing:
-    // An engine may have been lost after it answered: look anew at all.
+    // An engine may have restarted after its reply: query all members again.
     enter(Phases::Surveying, now);
     return;
   case Phases::Arming:
-    // Whoever has not armed refuses when asked; whoever has stays armed.
+    // Members that have not armed refuse when asked; members that have armed
+    // stay armed.
     enter(Phases::Settling, now);
     return;
   default:
@@ -358,7 +362,8 @@
 
 void GroupCoordinator::onRecordWritten(const KvReply &reply, TimePoint now) {
   if (reply.Code != ResultCode::Ok) {
-    // Perhaps written, perhaps another's write: begin again from the record.
+    // The record may have been written, or another process may have written it:
+    // start again by reading the record.
     enter(Phases::Reading, now);
     return;
   }
--- a/lib/Experts/GroupMember.cpp
+++ b/lib/Experts/GroupMember.cpp
@@ -1,7 +1,8 @@
-//===- GroupMember.cpp - one agent's part in map changes ------------------===//
+//===- GroupMember.cpp - an agent's role in map changes -------------------===//
 //
-// Orders are handled one at a time: while the engine works on one, later ones
-// wait. An engine that does not answer is asked for its state until it does.
+// Orders are handled one at a time; while the engine executes one, later ones
+// wait. If the engine does not reply, the member requests its state until it
+// does.
 //
 //===----------------------------------------------------------------------===//
 
@@ -51,7 +52,7 @@
   case GroupOrderKind::Ask:
     ask(order, now);
     return;
-  // Outcomes are facts, whoever tells them.
+  // The outcome of an attempt is a fact, whoever reports it.
   case GroupOrderKind::Commit:
     settle(order.Attempt, RankOrderKind::Commit, now);
     return;
@@ -80,14 +81,15 @@
     reply(order, GroupReplyKind::Loaded);
     return;
   }
-  // The spare slots are in use while a switch is under way; the coordinator
-  // asks again. The report shows when it is over.
+  // The spare slots are in use while a switch is under way. The coordinator
+  // repeats the order; the engine's report shows when the switch is complete.
   bool isBusy = State->Armed || State->IsSwitching;
   orderRank(isBusy ? RankOrderKind::Report : RankOrderKind::Load, order, true,
             now);
 }
 
-/// What the engine's state says of \p attempt; nothing if it is open.
+/// Returns the outcome of \p attempt according to the engine's state; none if
+/// undecided.
 std::optional<GroupReplyKind>
 GroupMember::knownOutcome(ChangeAttempt attempt) const {
   if (State->Armed && State->Armed->Attempt == attempt)
@@ -100,8 +102,8 @@
 }
 
 void GroupMember::arm(const GroupOrder &order, TimePoint now) {
-  // An engine of another generation knows nothing of this attempt and must not
-  // speak about it: it may have armed and forgotten.
+  // An engine of another generation knows nothing about this attempt and must
+  // not vote: it may have armed and lost that state.
   if (order.GroupGeneration != State->GroupGeneration) {
     reply(order, GroupReplyKind::State);
     return;
@@ -148,7 +150,7 @@
   return takeActions();
 }
 
-/// Answers the order that led to an engine's order.
+/// Replies to the agent's order that caused an engine order.
 void GroupMember::finish(const GroupOrder &cause, bool isDone, TimePoint now) {
   switch (cause.Kind) {
   case GroupOrderKind::Join:
@@ -156,8 +158,8 @@
       reply(cause, GroupReplyKind::Joined);
     return;
   case GroupOrderKind::Load:
-    // An engine that has begun to load answers at once; the coordinator asks
-    // again until the map is there.
+    // An engine that has begun to load replies at once; the coordinator repeats
+    // the order until the map is loaded.
     if (State->Spare == cause.Version)
       reply(cause, GroupReplyKind::Loaded);
     else if (!isDone && !State->Armed && !State->IsSwitching)
@@ -181,7 +183,7 @@
   }
 }
 
-/// Begins or ends the wait for the armed attempt's outcome.
+/// Starts or ends the wait for the outcome of the armed attempt.
 void GroupMember::watchArmed(TimePoint now) {
   if (!State->Armed) {
     AskAt.reset();
@@ -199,7 +201,8 @@
   sendToOthers(GroupOrderKind::Ask);
 }
 
-/// Sends a question about the armed attempt, or its outcome, to all others.
+/// Sends a query about the armed attempt, or the attempt's outcome, to all
+/// other members.
 void GroupMember::sendToOthers(GroupOrderKind kind) {
   GroupOrder order;
   order.Group = Group;
@@ -240,8 +243,8 @@
 
 GroupActions GroupMember::onTimer(TimePoint now) {
   if (InFlight && InFlight->GiveUpAt <= now) {
-    // Whether the engine took the order is not known; its state will tell, and
-    // whoever wants an answer asks again.
+    // It is unknown whether the engine executed the order. The engine's state
+    // will show it, and the sender of the order repeats the order.
     InFlight.reset();
     orderRank(RankOrderKind::Report, {}, false, now);
   }
--- a/lib/Experts/GroupPlanner.cpp
+++ b/lib/Experts/GroupPlanner.cpp
@@ -1,6 +1,7 @@
 //===- GroupPlanner.cpp - decides when a group gets a new map -------------===//
 //
-// Members hold equal, consecutive shares of the ranks, in the record's order.
+// Members own equal, consecutive ranges of the ranks, in the order of the
+// record.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Experts/GroupRecord.cpp
+++ b/lib/Experts/GroupRecord.cpp
@@ -1,6 +1,6 @@
-//===- GroupRecord.cpp - a group's record in the platform -----------------===//
+//===- GroupRecord.cpp - a group's key-value record -----------------------===//
 //
-// The JSON form. Maps are opaque text here.
+// The JSON format of the record. Maps are opaque text here.
 //
 //===----------------------------------------------------------------------===//
 
@@ -45,7 +45,7 @@
 }
 
 Result<GroupRecord> ospreyspur::parseRecord(const std::string &text) {
-  // Only coordinators write records, so one error for all faults will do.
+  // Only coordinators write records, so one error code covers all faults.
   try {
     json::value in = json::parse(text);
     GroupRecord out;
--- a/lib/Experts/LayerPlanner.cpp
+++ b/lib/Experts/LayerPlanner.cpp
@@ -1,9 +1,10 @@
 //===- LayerPlanner.cpp - improves one layer of a map ---------------------===//
 //
-// Only changes at the hottest rank can lower the layer's step time, and the
-// coldest ranks have the most room; so only these are tried. A change is judged
-// by the ranks it concerns: where several ranks are equally hot, relieving one
-// shows no gain in the layer's skew until the last of them is relieved.
+// Only changes at the most loaded rank can lower the layer's step time, and the
+// least loaded ranks have the most spare capacity; so only these are tried. A
+// change is evaluated by the ranks that it affects: where several ranks are
+// equally loaded, relieving one of them does not reduce the layer's imbalance
+// until the last one is relieved.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,8 +15,9 @@
 
 using namespace ospreyspur;
 
-/// How many of the coldest ranks are tried for each change. With 8 the skew
-/// stayed 8% above full re-placement, with 64 it is within 5%.
+/// Number of the least loaded ranks that are tried for each change. With 8 the
+/// imbalance stayed 8% above that of full re-placement; with 64 it is within
+/// 5%.
 static constexpr std::size_t ColdRanks = 64;
 
 LayerPlanner::LayerPlanner(const ExpertMap &map, std::size_t layer,
@@ -52,7 +54,8 @@
   return best;
 }
 
-/// Copies of the hot rank's experts in place of spare copies on cold ranks.
+/// Tries copies of the hot rank's experts in place of redundant copies on cold
+/// ranks.
 void LayerPlanner::tryCopies(std::size_t hot, LayerChange &best) const {
   std::size_t tried = std::min(ColdRanks, Order.size() - 1);
   for (std::size_t i = 0; i < SlotsPerRank; ++i) {
@@ -72,8 +75,8 @@
   }
 }
 
-/// The highest load among the ranks concerned, once \p slot holds a further
-/// copy of \p expert and the old expert's other copies have taken over its
+/// The highest load among the affected ranks, once \p slot holds another copy
+/// of \p expert and the other copies of the replaced expert have taken over its
 /// share.
 double LayerPlanner::highestAfterCopy(ExpertIndex expert,
                                       std::size_t slot) const {
@@ -96,7 +99,7 @@
   return highest;
 }
 
-/// Exchanges between a slot of the hot rank and one of a cold rank.
+/// Tries exchanges between a slot of the hot rank and one of a cold rank.
 void LayerPlanner::tryExchanges(std::size_t hot, LayerChange &best) const {
   std::size_t tried = std::min(ColdRanks, Order.size() - 1);
   for (std::size_t i = 0; i < SlotsPerRank; ++i) {
@@ -144,7 +147,7 @@
   sortRanks();
 }
 
-/// Puts \p expert into \p slot and shares the loads out anew.
+/// Puts \p expert into \p slot and redistributes the loads.
 void LayerPlanner::place(std::size_t slot, ExpertIndex expert) {
   ExpertIndex old = Slots[slot];
   for (ExpertIndex it : {old, expert})
@@ -160,7 +163,8 @@
       Loads[rankOf(holder)] += perCopy(it);
 }
 
-/// Few ranks change at a time, so an insertion sort of the old order is quick.
+/// Only a few ranks change at a time, so an insertion sort of the previous
+/// order is fast.
 void LayerPlanner::sortRanks() {
   for (std::size_t i = 1; i < Order.size(); ++i)
     for (std::size_t k = i; k > 0 && Loads[Order[k]] > Loads[Order[k - 1]]; --k)
--- a/lib/Experts/LeaseHolder.cpp
+++ b/lib/Experts/LeaseHolder.cpp
@@ -1,7 +1,7 @@
 //===- LeaseHolder.cpp - gets and keeps a lease ---------------------------===//
 //
-// The lease's span is counted from the moment the call was sent: the platform
-// cannot have started it earlier.
+// The lease's span is counted from the time at which the call was sent: the
+// platform cannot have started the lease earlier.
 //
 //===----------------------------------------------------------------------===//
 
@@ -62,7 +62,8 @@
       noteHolder(reply);
     if (IsFree)
       NextCall = now;
-    // An earlier life of this process held it: nobody else will use it.
+    // An earlier incarnation of this process holds the lease; no other process
+    // uses it.
     bool wasOwn = reply.Code == ResultCode::Ok && reply.Value == Self;
     if (wasOwn && Limits.TakesOwn)
       takeOver(now);
@@ -72,7 +73,7 @@
     hold(reply.At);
     return;
   }
-  // Another was faster; it is the holder now.
+  // Another process acquired the lease first and is the holder now.
   if (wasTaking && reply.Code == ResultCode::PlatformConflict)
     noteHolder(reply);
   bool isGone = reply.Code == ResultCode::NotFound ||
@@ -80,8 +81,9 @@
   if (Holder.get() == 0 || !isGone)
     return;
   lose(now);
-  // A lease that ran out in an outage is free for everybody at this moment; the
-  // group is best led by whoever led it.
+  // A lease that expired during an outage becomes free for all candidates at
+  // this moment. The previous coordinator retries at once, since it is best
+  // placed to continue to lead the group.
   IsFree = reply.Code == ResultCode::NotFound;
   if (IsFree)
     NextCall = now;
--- a/lib/Experts/MapArming.cpp
+++ b/lib/Experts/MapArming.cpp
@@ -1,4 +1,4 @@
-//===- MapArming.cpp - from the held step to the release ------------------===//
+//===- MapArming.cpp - from holding a step to releasing it ----------------===//
 //
 // The part of MapSwitch that chooses the step of a change, arms or disarms the
 // ranks in stages while it is held, and releases it. See MapSwitch.h.
@@ -13,7 +13,7 @@
 
 using namespace ospreyspur;
 
-/// Holds a step that the group is not likely to have begun.
+/// Holds a step that the group has probably not begun.
 void MapSwitch::holdNext(TimePoint now) {
   if (HoldTries++ >= Limits.MaxHolds) {
     enterIdle(now);
@@ -27,15 +27,16 @@
   }
   Step = StepNumber(last.get() + stepsAhead() * HoldTries);
   enter(SwitchPhase::Holding, now);
-  // Should this host freeze, others must be able to release the step.
+  // If this host freezes, others must still be able to release the step.
   unsigned holder = OwnRank == 0 && Ranks.size() > 1 ? 1 : 0;
   order(holder, MapOrderKind::Hold, Version, Step, now);
 }
 
-/// A step that the group is not likely to reach before every rank is armed: the
-/// hold is a guard that nobody should feel. Where links lose packets an answer
-/// takes some retransmission, 0.2 s and more, for which the group stood; a
-/// fixed number of steps that covers that makes every other change late.
+/// A step that the group will probably not reach before every rank is armed, so
+/// that the hold normally does not delay the group. Where links lose packets, a
+/// reply may need a retransmission of 0.2 s or more, during which the group
+/// would be stalled. A fixed number of steps that covers such retransmissions
+/// would delay all other changes.
 std::uint64_t MapSwitch::stepsAhead() const {
   Duration ahead = std::min(SlowestAnswer, Limits.LongestAhead);
   double seconds = std::chrono::duration<double>(ahead).count();
@@ -47,8 +48,8 @@
   SlowestAnswer = std::max(SlowestAnswer, now - order.FirstAt);
 }
 
-/// The own rank comes last: whoever takes over knows that it is not armed while
-/// any other is not.
+/// Arms the coordinator's own rank last: a successor then knows that this rank
+/// is not armed while any other is not.
 void MapSwitch::beginArming(TimePoint now) {
   enter(SwitchPhase::Arming, now);
   std::vector<PlannedOrder> others;
@@ -64,9 +65,9 @@
   beginStage(now);
 }
 
-/// Disarms ranks while the step is held; if not \p all, only those that say
-/// that they are armed. The order also makes void what an earlier order to the
-/// same rank might still do. The rank that is armed last is disarmed first.
+/// Disarms ranks while the step is held; unless \p all is set, only those that
+/// report that they are armed. The order also invalidates any earlier order to
+/// the same rank. The rank that is armed last is disarmed first.
 void MapSwitch::beginDisarming(MapVersion version, bool all, TimePoint now) {
   enter(SwitchPhase::Disarming, now);
   unsigned first = coordinatorOf(version, Ranks.begin()->second.Size);
@@ -83,7 +84,7 @@
   beginStage(now);
 }
 
-/// Gives the orders of the next stage. False if there is none.
+/// Sends the orders of the next stage. Returns false if there is none.
 bool MapSwitch::beginStage(TimePoint now) {
   while (!Stages.empty()) {
     std::vector<PlannedOrder> stage = std::move(Stages.front());
@@ -97,10 +98,10 @@
 }
 
 /// All ranks have prepared this coordinator's map, so none can be armed for
-/// another.
+/// another map.
 void MapSwitch::takeBack(TimePoint now) { beginDisarming(Version, true, now); }
 
-/// A rank that holds nothing refuses, which does no harm.
+/// A rank that holds nothing refuses the order, which is harmless.
 void MapSwitch::release(bool isChanging, TimePoint now) {
   IsChanging = isChanging;
   enter(SwitchPhase::Releasing, now);
--- a/lib/Experts/MapDelta.cpp
+++ b/lib/Experts/MapDelta.cpp
@@ -1,7 +1,7 @@
-//===- MapDelta.cpp - maps told by what differs ---------------------------===//
+//===- MapDelta.cpp - maps encoded as differences -------------------------===//
 //
-// See MapDelta.h. No two maps ever have one version, so a version tells both
-// sides which map is meant.
+// See MapDelta.h. No two maps ever have the same version, so a version
+// identifies the map for both sides.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +16,7 @@
 /// order, so the map before has come unless it was dropped.
 static constexpr unsigned MaxShortTries = 1;
 
-/// Adds to \p out what differs between \p base and \p set.
+/// Adds the differences between \p base and \p set to \p out.
 static void addDifference(std::uint32_t rank, std::uint32_t setNumber,
                           const std::vector<ExpertNumber> &base,
                           const std::vector<ExpertNumber> &set, MapDelta &out) {
@@ -29,8 +29,8 @@
       out.Replaced.push_back({rank, setNumber, place, set[place]});
 }
 
-/// What differs between \p base and \p map; nothing if they are not of one
-/// shape. The base's version is left to the caller.
+/// Returns the differences between \p base and \p map; none if their shapes
+/// differ. The caller sets the version of the base.
 static std::optional<MapDelta> difference(const GroupPlacement &base,
                                           const GroupPlacement &map) {
   if (base.size() != map.size())
@@ -67,7 +67,7 @@
   return out;
 }
 
-/// Numbers on the wire.
+/// Count of numbers on the wire.
 static std::size_t lengthOf(const MapDelta &delta) {
   constexpr std::size_t Head = 3;
   constexpr std::size_t OfReplaced = 2;
@@ -85,8 +85,8 @@
   return out;
 }
 
-/// \p map as what differs from the one that its group was formed with; nothing
-/// if that is not shorter.
+/// Encodes \p map as its differences from the map that its group was formed
+/// with; none if that is not shorter.
 static std::optional<MapDelta> fromDealt(const GroupPlacement &map) {
   DealtShape shape = shapeOf(map);
   if (shape.Ranks == 0)
@@ -119,7 +119,7 @@
   return out;
 }
 
-/// The same for all ranks: worked out once for each map.
+/// The delta is the same for all ranks, so it is computed once per map.
 std::optional<MapDelta> SentMaps::dealtDelta(const MapOrder &order) {
   if (DealtOf != order.Map) {
     DealtOf = order.Map;
@@ -128,7 +128,7 @@
   return Dealt;
 }
 
-/// Makes \p map differ by \p delta. False if it has no such places.
+/// Applies \p delta to \p map. Returns false if \p map lacks one of the places.
 static bool change(GroupPlacement &map, const MapDelta &delta) {
   auto hasSet = [&map](std::uint32_t rank, std::uint32_t set) {
     return rank < map.size() && set < map[rank].size();
--- a/lib/Experts/MapSwitch.cpp
+++ b/lib/Experts/MapSwitch.cpp
@@ -1,6 +1,6 @@
 //===- MapSwitch.cpp - brings a new map into force on a group -------------===//
 //
-// See MapSwitch.h for the order of events.
+// See MapSwitch.h for the sequence of phases.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,10 +12,11 @@
 using namespace ospreyspur;
 
 void MapSwitch::lead(std::uint64_t lease, unsigned ownRank, TimePoint now) {
-  // Whoever was refused for a higher token never leads under that lease again.
+  // A coordinator that was refused because of a higher token never leads under
+  // that lease again.
   if (Lease == lease && (IsLeading || IsFenced))
     return;
-  // Tokens go on where they were if the lease is the same.
+  // Under the same lease, the token numbers continue.
   if (Lease != lease)
     LastOrder = 0;
   OwnRank = ownRank;
@@ -23,11 +24,12 @@
   IsLeading = true;
   IsFenced = false;
   Lease = lease;
-  // What a predecessor left shows in the ranks' next statuses.
+  // The ranks' next statuses show what a predecessor left.
   Phase = SwitchPhase::Idle;
   SurveySince.reset();
   Orders.clear();
-  // What was heard under an earlier lease is no word of who can be reached now.
+  // Reports received under an earlier lease do not show which ranks are
+  // reachable now.
   Ranks.clear();
   SeenAt.clear();
   Claimed.clear();
@@ -57,8 +59,8 @@
   return takeActions();
 }
 
-/// The rank has started again: nothing that it was ordered or said stands. A
-/// change that counted on it is looked at anew.
+/// Called when the rank has restarted: its orders and reports are no longer
+/// valid. A change that counted on the rank is evaluated anew.
 void MapSwitch::forgetRank(unsigned rank, TimePoint now) {
   Ranks.erase(rank);
   Claimed.erase(rank);
@@ -66,7 +68,7 @@
     enterIdle(now);
 }
 
-/// Measures how fast the group steps.
+/// Measures the group's step rate.
 void MapSwitch::noteStep(const RankStatus &status, TimePoint now) {
   if (status.Formation != StepFormation || status.Step < LastStep) {
     StepFormation = status.Formation;
@@ -90,7 +92,7 @@
     return takeActions();
   switch (reply.Result) {
   case MapOrderResult::Unanswered:
-    // Sent again by the timer.
+    // The timer sends the order again.
     return takeActions();
   case MapOrderResult::Fenced:
     IsFenced = true;
@@ -102,7 +104,7 @@
     Orders.erase(it);
     break;
   case MapOrderResult::Refused: {
-    // Ranks raise their token with orders that they refuse, too.
+    // Ranks also raise their token for orders that they refuse.
     Claimed.insert(rank);
     unsigned tries = it->second.Tries;
     SwitchPhase before = Phase;
@@ -118,8 +120,8 @@
   return takeActions();
 }
 
-/// A refusal after an earlier copy of the order got no answer may only say that
-/// the earlier one was taken.
+/// After an earlier copy of the order got no reply, a refusal may only mean
+/// that the earlier copy was executed.
 void MapSwitch::onRefused(unsigned tries, TimePoint now) {
   switch (Phase) {
   case SwitchPhase::Preparing:
@@ -133,7 +135,7 @@
     takeBack(now);
     break;
   case SwitchPhase::Freezing:
-    // The step has begun: what was armed is in force by now.
+    // The step has begun: the armed map is in force by now.
     enterIdle(now);
     break;
   case SwitchPhase::Idle:
@@ -171,7 +173,7 @@
   return next;
 }
 
-/// The more orders are without an answer the longer.
+/// Grows with the number of orders without a reply.
 Duration MapSwitch::resendAfter() const {
   std::size_t n = Limits.RepeatsPerResend;
   return Limits.Resend * std::max<std::size_t>(1, (Orders.size() + n - 1) / n);
@@ -195,7 +197,8 @@
   it.SentAt = now;
   if (it.Tries == 0)
     it.FirstAt = now;
-  // Large maps take long on a narrow link; ranks have their time after that.
+  // Large maps take long on a narrow link; the ranks' preparation time starts
+  // when the last map has been sent.
   if (Phase == SwitchPhase::Preparing)
     PhaseAt = now;
 }
@@ -213,8 +216,9 @@
   return takeActions();
 }
 
-/// A number that no other coordinator can have given to another map; it tells
-/// the own rank by its rest.
+/// Returns a version that no other coordinator can have assigned to another
+/// map. The order number in the version's low bits, modulo the number of ranks,
+/// is the coordinator's own rank.
 MapVersion MapSwitch::nextVersion() {
   do {
     ++LastOrder;
@@ -222,7 +226,8 @@
   return MapVersion((Lease << OrderBits) + LastOrder);
 }
 
-/// The rank of the coordinator that gave out \p version in a group of \p size.
+/// The rank of the coordinator that assigned \p version in a group of \p size
+/// ranks.
 unsigned MapSwitch::coordinatorOf(MapVersion version, std::size_t size) {
   std::uint64_t order = version.get() & ((1ULL << OrderBits) - 1);
   return static_cast<unsigned>(order % size);
@@ -234,7 +239,7 @@
     return false;
   MapVersion map = Ranks.begin()->second.Map;
   return allRanks([map](const RankStatus &it) {
-    // Agents leave a placement out that they have told before.
+    // Agents omit a placement that they have already reported.
     return it.Map == map && !it.Armed && !it.Held && !it.Placement.empty();
   });
 }
@@ -263,7 +268,7 @@
   });
 }
 
-/// Whether every rank has reported since the last phase ended.
+/// Whether every rank has reported since SurveySince.
 bool MapSwitch::isSurveyed() const {
   return !SurveySince ||
          std::all_of(SeenAt.begin(), SeenAt.end(), [this](const auto &it) {
@@ -296,7 +301,7 @@
       Phase != SwitchPhase::Idle &&
       !allRanks([this](const auto &it) { return it.Formation == Formation; });
   if (isReformed) {
-    // All that was prepared, armed or held went with the formation.
+    // Whatever was prepared, armed or held was lost with the formation.
     enterIdle(now);
     return;
   }
@@ -332,7 +337,7 @@
     break;
   case SwitchPhase::Releasing:
   case SwitchPhase::Disarming:
-    // Orders are sent until they are answered.
+    // Orders are repeated until they are answered.
     break;
   }
 }
@@ -344,8 +349,8 @@
   bool isWaiting = allRanks([this](const RankStatus &it) {
     return it.Armed == ArmedMap{Version, Step} && !it.Held;
   });
-  // Statuses that show the new map are younger than all that was ordered: the
-  // next change need not wait for another round of them, some 0.1 s.
+  // Statuses that show the new map are newer than all orders of this change, so
+  // the next change need not wait for another round of them, about 0.1 s.
   if (isInForce)
     enter(SwitchPhase::Idle, now);
   else if (now - PhaseAt > Limits.PhaseTime && !isWaiting)
@@ -378,7 +383,7 @@
   Out.push_back({rank, tries, std::move(order)});
 }
 
-/// All orders of the phase are done.
+/// Called when all orders of the phase have been answered.
 void MapSwitch::onPhaseDone(TimePoint now) {
   switch (Phase) {
   case SwitchPhase::Holding:
--- a/lib/Experts/MapTakeover.cpp
+++ b/lib/Experts/MapTakeover.cpp
@@ -1,7 +1,7 @@
-//===- MapTakeover.cpp - what an earlier coordinator left -----------------===//
+//===- MapTakeover.cpp - resolves an unfinished change --------------------===//
 //
-// The part of MapSwitch with which a coordinator that begins to lead makes its
-// predecessors' orders void and ends the change that they left. See
+// The part of MapSwitch with which a new coordinator invalidates its
+// predecessors' orders and ends the change that they left unfinished. See
 // MapSwitch.h.
 //
 //===----------------------------------------------------------------------===//
@@ -12,8 +12,8 @@
 
 using namespace ospreyspur;
 
-/// Claims the ranks that have had no order of this coordinator. False if there
-/// is none.
+/// Claims the ranks that have not yet received an order of this coordinator.
+/// Returns false if there are none.
 bool MapSwitch::beginClaiming(TimePoint now) {
   if (Ranks.empty())
     return false;
@@ -30,14 +30,15 @@
   Formation = formation;
   BeganAt = now;
   enter(SwitchPhase::Claiming, now);
-  // No rank is ever armed for the map that it is formed with.
+  // No rank is ever armed for the map that it is formed with, so this order has
+  // no other effect.
   for (unsigned rank : open)
     order(rank, MapOrderKind::Disarm, MapVersion(0), StepNumber(0), now);
   return true;
 }
 
-/// Whether what an earlier coordinator left can be put in order: all ranks are
-/// in touch, or all but the rank that is armed last.
+/// Whether a change that an earlier coordinator left unfinished can be
+/// resolved: all ranks are reachable, or all but the rank that is armed last.
 bool MapSwitch::canDecide(TimePoint now) const {
   if (!isSurveyed())
     return false;
@@ -50,7 +51,7 @@
   return coordinatorOf(newest, Ranks.begin()->second.Size) == *missing;
 }
 
-/// The rank out of reach, if it is a single one and all others are in touch.
+/// The unreachable rank, if there is exactly one and all others are reachable.
 std::optional<unsigned> MapSwitch::missingRank(TimePoint now) const {
   if (Ranks.empty() || now - LeadingSince < Limits.MissingAfter)
     return std::nullopt;
@@ -62,7 +63,7 @@
         it != Ranks.end() && now - SeenAt.at(rank) < Limits.StatusAge;
     if (isHeard && it->second.Formation == any.Formation && it->second.IsOpen)
       continue;
-    // A rank that was heard under this lease may have been given orders.
+    // A rank that reported under this lease may have received orders.
     if (out || it != Ranks.end())
       return std::nullopt;
     out = rank;
@@ -70,7 +71,7 @@
   return out;
 }
 
-/// The newest version that any rank in touch is armed for or has prepared.
+/// The newest version that any reachable rank is armed for or has prepared.
 MapVersion MapSwitch::newestVersion() const {
   MapVersion out;
   for (const auto &[rank, status] : Ranks) {
@@ -82,7 +83,7 @@
   return out;
 }
 
-/// Whether every rank in touch is armed for the newest version.
+/// Whether every reachable rank is armed for the newest version.
 bool MapSwitch::isNewestArmed() const {
   MapVersion newest = newestVersion();
   return allRanks([newest](const RankStatus &it) {
@@ -90,7 +91,7 @@
   });
 }
 
-/// Looks for what an earlier coordinator left.
+/// Looks for a change that an earlier coordinator left unfinished.
 void MapSwitch::advanceIdle(TimePoint now) {
   if (beginClaiming(now) || !canDecide(now))
     return;
@@ -107,7 +108,7 @@
   Formation = Ranks.begin()->second.Formation;
   BeganAt = now;
   Step = armed ? *armed : *held.begin();
-  // A rank holds one step only: others make way for the one that matters.
+  // A rank holds only one step: other held steps are released first.
   held.erase(Step);
   if (!held.empty()) {
     releaseOthers(now);
@@ -125,7 +126,7 @@
       order(rank, MapOrderKind::Release, Version, *status.Held, now);
 }
 
-/// Every rank holds the step: nothing can change but by this coordinator.
+/// Every rank holds the step: only this coordinator can change their state.
 void MapSwitch::advanceFrozen(TimePoint now) {
   if (!canDecide(now))
     return;
--- a/lib/Experts/MemberConsent.cpp
+++ b/lib/Experts/MemberConsent.cpp
@@ -1,4 +1,4 @@
-//===- MemberConsent.cpp - leading a group without the store --------------===//
+//===- MemberConsent.cpp - leading during a store outage ------------------===//
 //
 // See MemberConsent.h.
 //
--- a/lib/Experts/PlacementPlanner.cpp
+++ b/lib/Experts/PlacementPlanner.cpp
@@ -1,7 +1,8 @@
 //===- PlacementPlanner.cpp - which experts each rank should hold ---------===//
 //
-// Greedy: the copy that gains most in any set, until none is worth it. Each
-// set's best copy is looked for again only after a change that concerns it.
+// Greedy: applies the copy with the highest gain in any set until no copy is
+// worth its cost. The best copy of a set is recomputed only after a change that
+// affects the copy.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +15,7 @@
 using namespace ospreyspur;
 
 namespace {
-/// A plan in the making.
+/// A plan under construction.
 class Draft {
 public:
   Draft(const PlacementLimits &limits, const GroupPlacement &current,
@@ -31,7 +32,7 @@
   const PlacementLimits &Limits;
   std::size_t RankCount;
   std::vector<SetPlacement> Sets;
-  /// The best copy of each set; looked for again if it is not known.
+  /// The best copy of each set; recomputed if not known.
   std::vector<std::optional<ExpertCopy>> Best;
   std::vector<bool> IsKnown;
   /// New experts by rank, and by set and rank.
@@ -109,7 +110,7 @@
       continue;
     ++plan.Copies;
     ++NewInSet[set][rank];
-    // A rank that is full for this change is no choice in any set. Copies to
+    // A rank at its limit for this change is excluded in all sets. Copies to
     // other ranks stay the best of their sets.
     if (++NewOnRank[rank] >= Limits.NewPerRank)
       forgetCopiesTo(rank);
--- a/lib/Experts/RankCodec.cpp
+++ b/lib/Experts/RankCodec.cpp
@@ -1,6 +1,6 @@
 //===- RankCodec.cpp - an engine's orders and state as JSON ---------------===//
 //
-// Fields map one to one. A field that is missing or of the wrong type makes the
+// Fields map one to one. A missing field or one of the wrong type makes the
 // whole text malformed.
 //
 //===----------------------------------------------------------------------===//
@@ -46,7 +46,7 @@
   constexpr auto LastKind = static_cast<std::uint64_t>(RankOrderKind::Abort);
   std::uint64_t kind = numberAt(in, "kind");
   if (kind > LastKind)
-    throw std::out_of_range("the order's kind is not known");
+    throw std::out_of_range("unknown kind of order");
   RankOrder out;
   out.Kind = static_cast<RankOrderKind>(kind);
   out.CoordinatorEpoch = Epoch(numberAt(in, "epoch"));
@@ -101,7 +101,7 @@
   return out;
 }
 
-/// Parses \p text and reads it with \p read; any fault is one error.
+/// Parses \p text and reads it with \p read; every fault gives the same error.
 template <typename T, typename Read>
 static Result<T> parseWith(std::string_view text, Read read) {
   try {
--- a/lib/Experts/ReachPlanner.cpp
+++ b/lib/Experts/ReachPlanner.cpp
@@ -1,4 +1,4 @@
-//===- ReachPlanner.cpp - which ranks to read past their agents -----------===//
+//===- ReachPlanner.cpp - direct reads of ranks ---------------------------===//
 //
 // See ReachPlanner.h.
 //
@@ -24,7 +24,7 @@
 
 void ReachPlanner::setCandidates(std::vector<TcpAddress> addresses) {
   Candidates = std::move(addresses);
-  // An address that has left the list may come back as another rank's.
+  // An address that has left the list may later belong to another rank.
   std::set<TcpAddress> present(Candidates.begin(), Candidates.end());
   std::erase_if(Others, [&](const auto &it) { return !present.contains(it); });
   std::erase_if(Addresses,
--- a/lib/Experts/SetPlacement.cpp
+++ b/lib/Experts/SetPlacement.cpp
@@ -1,8 +1,8 @@
 //===- SetPlacement.cpp - one set of layers on a group's ranks ------------===//
 //
-// The load measure is a power mean of the ranks' loads: close to the highest,
-// which the step waits for, but it also falls when one of several equally hot
-// ranks is relieved.
+// The load measure is a power mean of the ranks' loads. The mean is close to
+// the highest load, which determines the step time, but also falls when one of
+// several equally loaded ranks is relieved.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,10 +14,10 @@
 
 using namespace ospreyspur;
 
-/// Ranks that a copy is looked for, from the most loaded down.
+/// Number of the most loaded ranks for whose experts copies are considered.
 static constexpr std::size_t HotRanks = 2;
 
-/// From this pace on a rank gives experts up.
+/// A rank with at least this slowdown may drop experts.
 static constexpr double SlowPace = 1.5;
 
 static double eighthPower(double it) {
@@ -50,7 +50,7 @@
   Measure = eighthRoot(Sum);
 }
 
-/// What each holder of \p expert bears of its demand.
+/// The part of the demand for \p expert that each of its holders serves.
 double SetPlacement::share(ExpertNumber expert) const {
   return Demand[expert] /
          double(std::max<std::size_t>(Holders[expert].size(), 1));
@@ -104,7 +104,7 @@
 
 void SetPlacement::apply(const ExpertCopy &copy) {
   tryCopy(copy);
-  // Sums of differences would drift over many copies.
+  // Sums of differences would accumulate rounding errors over many copies.
   Sum = 0;
   for (double it : Loads)
     Sum += eighthPower(it);
@@ -114,7 +114,8 @@
     std::erase(Holders[*copy.Evicted], copy.Rank);
   if (copy.Expert)
     Holders[*copy.Expert].push_back(copy.Rank);
-  // The new expert takes the place of the old one: maps are told by places.
+  // The new expert takes the index of the old one, since maps are sent as
+  // differences by index.
   if (copy.Evicted && copy.Expert)
     std::replace(held.begin(), held.end(), *copy.Evicted, *copy.Expert);
   else if (copy.Evicted)
@@ -149,7 +150,8 @@
   return best;
 }
 
-/// A slow rank bears less with fewer experts; others have to hold them, too.
+/// Considers dropping experts from a slow rank to lower its load; other ranks
+/// must hold those experts, too.
 void SetPlacement::considerGivingUp(unsigned rank,
                                     std::optional<ExpertCopy> &best) const {
   for (ExpertNumber it : Ranks[rank])
@@ -157,7 +159,7 @@
       consider({rank, std::nullopt, it, 0}, best);
 }
 
-/// Looks at all ways to make room for \p expert on \p rank.
+/// Considers all ways to place \p expert on \p rank.
 void SetPlacement::considerRank(unsigned rank, ExpertNumber expert,
                                 std::size_t places,
                                 std::optional<ExpertCopy> &best) const {
--- a/lib/Experts/StatusFilter.cpp
+++ b/lib/Experts/StatusFilter.cpp
@@ -1,4 +1,4 @@
-//===- StatusFilter.cpp - which states a coordinator needs to hear --------===//
+//===- StatusFilter.cpp - limits reports to the coordinator ---------------===//
 //
 // See StatusFilter.h.
 //
@@ -10,7 +10,8 @@
 
 using namespace ospreyspur;
 
-/// A rank's pace wavers a little; it is news from this part of it on.
+/// The slowdown of a rank fluctuates slightly; a relative change above this
+/// value is reported.
 static constexpr double PaceChange = 0.2;
 
 std::optional<RankStatus> StatusFilter::filter(const RankStatus &status,
@@ -27,7 +28,8 @@
   bool hasPlacement = Told && Told->Life == status.Life &&
                       Told->Formation == status.Formation &&
                       Told->Map == status.Map;
-  // Samples carry it again, should it have been lost on the way.
+  // Reports with samples include the placement again, in case the earlier
+  // report was lost.
   if (hasPlacement && status.Picks.empty())
     out.Placement.clear();
   Told = status;
