--- a/unittests/Experts/ChangeBudgetTest.cpp
+++ b/unittests/Experts/ChangeBudgetTest.cpp
@@ -1,8 +1,9 @@
-//===- ChangeBudgetTest.cpp - what a change brings to a group -------------===//
+//===- ChangeBudgetTest.cpp - size limits of a map change -----------------===//
 //
-// Where experts are small a plan goes on for as long as it helps: on a group of
-// 96 ranks, and on one of 63 that has just had its demand shifted. Where they
-// are large it brings as few as trials found best.
+// Where experts are small, a plan continues as long as copies help: on a group
+// of 96 ranks, and on one of 63 ranks after a demand shift. Where experts are
+// large, a plan brings few copies, since more of them delay the change too
+// long.
 //
 //===----------------------------------------------------------------------===//
 
@@ -33,7 +34,8 @@
   return out;
 }
 
-/// The n-th liked expert of each set is chosen in proportion to n^-steepness.
+/// The n-th most popular expert of each set is chosen in proportion to
+/// n^-steepness.
 std::vector<double> likeSome(std::size_t sets = Sets,
                              std::size_t experts = Experts,
                              double steepness = 0.53) {
@@ -50,7 +52,7 @@
 }
 } // namespace
 
-TEST_CASE("a large group's plans end below the skew of a smaller one's") {
+TEST_CASE("plans of a large group end at a low imbalance") {
   ChangeBudget budget(milliseconds(18));
   GroupPlacement map = deal();
   std::vector<double> demand = likeSome();
@@ -62,15 +64,15 @@
     map = plan.Placement;
     skew = plan.SkewAfter;
   }
-  // One new expert a rank and a least gain of 0.04 end at 1.75, a least gain of
-  // 0.02 at 1.5.
+  // One new expert per rank and a minimum gain of 0.04 end at 1.75, a minimum
+  // gain of 0.02 at 1.5.
   CHECK(skew < 1.35);
 }
 
-TEST_CASE("one change fits a map to a shifted demand") {
-  // 63 ranks with five places for 252 experts of 14 ms; the counts of such a
-  // group's most liked experts follow n^-0.67, and a shift gives half of the
-  // experts other places in that order.
+TEST_CASE("one change adapts a map to a shifted demand") {
+  // 63 ranks with five places for 252 experts of 14 ms. The popularity of such
+  // a group's experts follows n^-0.67, and a shift swaps the ranking of half of
+  // the experts.
   constexpr std::size_t Shifted = 63;
   constexpr std::size_t ShiftedSets = 8;
   constexpr std::size_t ShiftedExperts = 252;
@@ -83,7 +85,7 @@
   for (int shift = 0; shift < 5; ++shift) {
     PlacementPlan plan = planner.plan(map, demand);
     map = plan.Placement;
-    // What trials with large experts allow ends at 1.5, and would again.
+    // The limits that suit large experts end at 1.5.
     CHECK(plan.SkewAfter < 1.2);
     CHECK(plan.Copies < 5 * Shifted);
     for (std::size_t n = 0; n < demand.size() / 2; ++n) {
@@ -94,7 +96,8 @@
   }
 }
 
-TEST_CASE("the least gain and the copies follow from the time of one") {
+TEST_CASE(
+    "the minimum gain and the number of copies follow from the copy time") {
   for (int ms = 10; ms < 400; ms += 10) {
     ChangeBudget less{milliseconds(ms)};
     ChangeBudget more{milliseconds(ms + 10)};
@@ -108,12 +111,12 @@
   }
 }
 
-TEST_CASE("groups with large experts keep the figures that trials found") {
+TEST_CASE("groups with large experts get few copies per change") {
   for (int copy : {148, 150, 400}) {
     ChangeBudget budget{milliseconds(copy)};
     CHECK(budget.newPerRank(false) == 1);
-    // Two take 0.8 s with experts of 0.4 s, for all of which the shifted demand
-    // meets the map from before.
+    // Two copies take 0.8 s with experts of 0.4 s; during that time the shifted
+    // demand meets the map from before the shift.
     CHECK(budget.newPerRank(true) == 1);
     CHECK(budget.minGain() ==
           doctest::Approx(ChangeBudget::MinGain).epsilon(0.02));
@@ -127,7 +130,7 @@
   CHECK(unknown.minGain() == ChangeBudget::MinGain);
 }
 
-TEST_CASE("a large group's demand is sampled before it has shifted again") {
+TEST_CASE("a large group's demand is sampled before the next shift") {
   constexpr double LinkBytesPerSecond = 6e6 / 8;
   SampleLimits limits;
   limits.BytesPerSecond = LinkBytesPerSecond * 0.2;
@@ -138,7 +141,8 @@
   double bytes = double(Ranks * Sets * Experts);
   double seconds = std::chrono::duration<double>(large).count();
   CHECK(bytes / seconds <= limits.MostBytesPerSecond * 1.01);
-  // Groups that are sampled often enough take no more of the link than before.
+  // Groups that are sampled often enough use no more than the normal share of
+  // the link.
   CHECK(sampler.interval(24, std::size_t(16) * 96) ==
         std::chrono::microseconds(245760));
 }
--- a/unittests/Experts/DemandMeterTest.cpp
+++ b/unittests/Experts/DemandMeterTest.cpp
@@ -1,10 +1,10 @@
-//===- DemandMeterTest.cpp - demand that changes all at once --------------===//
+//===- DemandMeterTest.cpp - abrupt shifts of demand ----------------------===//
 //
-// The pattern: 63 ranks, each sampled in its turn each 0.6 s, whose streams
-// like nine topics in parts that differ from rank to rank; every 3.3 s other
-// experts are in demand. Recorded counts of such a group gave the figures: the
-// most liked expert of 252 has 0.047 of its set's demand, the n-th liked some
-// n^-0.67 of that, and a shift moves about a quarter of the demand.
+// A group of 63 ranks, each sampled once every 0.6 s. The ranks' streams prefer
+// nine topics in proportions that differ between ranks; every 3.3 s other
+// experts are in demand. The most popular of 252 experts has 0.047 of its set's
+// demand, the n-th most popular about n^-0.67 of that, and a shift moves about
+// a quarter of the demand.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,7 +27,7 @@
 constexpr std::size_t Topics = 9;
 constexpr TimePoint Start{seconds(100)};
 
-/// What a group's streams choose.
+/// The experts that a group's streams choose.
 class LikedExperts {
 public:
   explicit LikedExperts(std::uint64_t seed) : Random(seed) {
@@ -38,19 +38,19 @@
     double all = std::accumulate(common.begin(), common.end(), 0.0);
     for (double &it : common)
       it /= all;
-    // Topics share most of what they like.
+    // Topics share most of their popular experts.
     for (auto &it : Likes)
       it = reordered(common, drawSwaps(Experts / 24));
   }
 
-  /// A share of what is liked changes.
+  /// Swaps a part of the popularity ranking, for all topics alike.
   void shift() {
     std::vector<std::size_t> to = drawSwaps(Experts / 2);
     for (auto &topic : Likes)
       topic = reordered(topic, to);
   }
 
-  /// The demand of a group that has as much of each topic.
+  /// The demand of a group with equal parts of each topic.
   std::vector<double> demand() const {
     std::vector<double> out(Experts, 0.0);
     for (const auto &topic : Likes)
@@ -59,7 +59,8 @@
     return out;
   }
 
-  /// Counts of one rank, whose \p writers have topics drawn at random.
+  /// Counts of one rank, whose decoding streams (\p writers) have randomly
+  /// drawn topics.
   std::vector<std::uint32_t> sample(unsigned writers) {
     std::vector<double> sum(Experts, 0.0);
     for (unsigned n = 0; n < writers; ++n) {
@@ -75,7 +76,7 @@
   }
 
 private:
-  /// Where each expert goes if \p n pairs of them change places.
+  /// The new position of each expert after \p n random swaps.
   std::vector<std::size_t> drawSwaps(std::size_t n) {
     std::vector<std::size_t> out(Experts);
     std::iota(out.begin(), out.end(), std::size_t(0));
@@ -96,7 +97,7 @@
   std::array<std::vector<double>, Topics> Likes;
 };
 
-/// The part in which \p measured and \p demand differ.
+/// The fraction in which \p measured and \p demand differ.
 double distance(const std::vector<double> &measured,
                 const std::vector<double> &demand) {
   double all = std::accumulate(measured.begin(), measured.end(), 0.0);
@@ -106,7 +107,7 @@
   return out / 2;
 }
 
-/// A meter that hears of a group each 10 ms.
+/// A meter that receives a sample every 10 ms.
 struct MeteredGroup {
   explicit MeteredGroup(std::uint64_t seed) : Liked(seed) {}
 
@@ -121,7 +122,7 @@
 };
 } // namespace
 
-TEST_CASE("a shift of demand is found at once and leaves nothing of before") {
+TEST_CASE("a demand shift is detected at once and old demand is dropped") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     INFO("seed " << seed);
     MeteredGroup group(seed);
@@ -133,7 +134,8 @@
       CHECK(group.Meter.changes() > before);
       group.run(milliseconds(200), 6);
       CHECK(group.Meter.isSettled(group.Now));
-      // What fades with a half-life of 0.4 s still has half of what was.
+      // A sum with a half-life of 0.4 s would still contain half of the old
+      // demand.
       CHECK(distance(group.Meter.demand(), group.Liked.demand()) < 0.09);
       group.run(seconds(3), 6);
       CHECK(distance(group.Meter.demand(), group.Liked.demand()) < 0.04);
@@ -141,25 +143,25 @@
   }
 }
 
-TEST_CASE("a demand that stays alike is never begun anew") {
-  // Few streams: each that ends changes what is liked.
+TEST_CASE("the sum never restarts while the demand is stable") {
+  // With few streams, the demand changes whenever one of them ends.
   for (unsigned writers : {1U, 2U, 6U})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      INFO("seed " << seed << ", " << writers << " writers");
+      INFO("seed " << seed << ", " << writers << " streams");
       MeteredGroup group(seed);
       group.run(seconds(20), writers);
       CHECK(group.Meter.changes() == 0);
     }
 }
 
-TEST_CASE("a change that is just found waits for what is told after it") {
+TEST_CASE("a plan after a demand shift waits for further samples") {
   MeteredGroup group(1);
   group.run(seconds(3), 6);
   group.Liked.shift();
   while (group.Meter.changes() == 0)
     group.run(milliseconds(10), 6);
   CHECK_FALSE(group.Meter.isSettled(group.Now - milliseconds(10)));
-  // Should no more be told, the plan is not put off for ever.
+  // If no more samples arrive, the plan is not delayed indefinitely.
   CHECK(group.Meter.isSettled(group.Now + DemandLimits().LongestSettling));
 }
 
@@ -176,7 +178,7 @@
   CHECK(meter.demand()[1] == doctest::Approx(40));
 }
 
-TEST_CASE("another shape of counts begins anew") {
+TEST_CASE("counts of another size restart the sum") {
   MeteredGroup group(1);
   group.run(seconds(2), 6);
   group.Meter.add({1, 2, 3}, group.Now);
--- a/unittests/Experts/ExpertPlannerTest.cpp
+++ b/unittests/Experts/ExpertPlannerTest.cpp
@@ -1,7 +1,7 @@
-//===- ExpertPlannerTest.cpp - the planner against a naive one ------------===//
+//===- ExpertPlannerTest.cpp - planner against full re-placement ----------===//
 //
-// Seeded demands that drift in several ways. The planner's maps must be valid,
-// about as even as full re-placement, for a fraction of its moves.
+// Seeded demands that drift in several ways. The planner's maps must be valid
+// and about as balanced as full re-placement, for a fraction of its moves.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,7 @@
 namespace {
 enum class Drift { Steady, SlowTurn, SuddenTopic, Flapping, OneThird };
 
-/// What a run of one planner over a drifting demand came to.
+/// Totals of one planner's run over a drifting demand.
 struct Tally {
   double Skew = 0;
   std::size_t Moves = 0;
@@ -104,8 +104,8 @@
   });
 }
 
-TEST_CASE("the planner is about as even as full re-placement for less") {
-  // Kettering & Daughters weigh skew more, the tariff desk moves.
+TEST_CASE("the planner balances like full re-placement with fewer moves") {
+  // Two deployments: one weighs the imbalance more, the other the moves.
   PlannerWeights skewFirst{1.0, 0.0005, 4000, 0.005};
   PlannerWeights movesFirst{1.0, 0.02, 4000, 0.05};
   for (Drift drift : {Drift::Steady, Drift::SlowTurn, Drift::SuddenTopic,
@@ -131,7 +131,7 @@
     }
 }
 
-TEST_CASE("an even demand moves nothing") {
+TEST_CASE("a balanced demand causes no moves") {
   ExpertMap map = makeDealtMap(Shape);
   ExpertDemand demand(Shape.Layers, std::vector<double>(Shape.Experts, 10));
   MapPlan plan = ExpertPlanner(PlannerWeights()).plan(map, demand);
@@ -139,7 +139,7 @@
   CHECK(plan.Map == map);
 }
 
-TEST_CASE("a plan keeps to its budget of moves") {
+TEST_CASE("a plan respects its budget of moves") {
   ExpertDemand demand = drawDemand(Drift::Steady, 0, 9);
   PlannerWeights weights{1.0, 0.0, 7, 0.0};
   MapPlan plan = ExpertPlanner(weights).plan(makeDealtMap(Shape), demand);
@@ -147,7 +147,7 @@
   CHECK(plan.Moves <= 7);
 }
 
-TEST_CASE("a map's text reads back, and a broken one is refused") {
+TEST_CASE("an encoded map is parsed back, and a malformed one is refused") {
   ExpertMap map = makeDealtMap({2, 8, 4, 3});
   Result<ExpertMap> back = parseMap(formatMap(map));
   REQUIRE(back.has_value());
--- a/unittests/Experts/LargeGroupTest.cpp
+++ b/unittests/Experts/LargeGroupTest.cpp
@@ -1,8 +1,9 @@
-//===- LargeGroupTest.cpp - groups whose maps fill a coordinator's link ---===//
+//===- LargeGroupTest.cpp - maps that fill a coordinator's link -----------===//
 //
-// A coordinator of 32, 96 and 256 ranks behind a narrow link changes maps: what
-// it sends waits for the link, copies of orders too. Members' hosts freeze and
-// the coordinator's host does; orders are lost.
+// A coordinator of 32, 96 or 256 ranks behind a narrow link changes maps;
+// everything that the coordinator sends, repeated orders included, queues for
+// the link. The hosts of members and of the coordinator freeze, and orders are
+// lost.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,14 +24,14 @@
 using std::chrono::seconds;
 
 namespace {
-/// Sets of layers and places a rank and set of the users' large groups.
+/// Sets of layers, and places per rank and set, of the platform's large groups.
 constexpr unsigned Sets = 16;
 constexpr unsigned Places = 3;
 constexpr double LinkBytesPerSecond = 6e6 / 8;
 constexpr double MapShare = 0.4;
 
-/// Two experts a rank and set, dealt in turn, and one copy a rank that moves
-/// with each turn.
+/// Each rank and set holds two experts, assigned in turn. Each rank holds one
+/// copy, which moves with each turn.
 GroupPlacement makeMap(unsigned size, unsigned turn) {
   GroupPlacement out(size, RankPlacement(Sets));
   for (unsigned rank = 0; rank < size; ++rank)
@@ -44,9 +45,9 @@
   return out;
 }
 
-/// What goes wrong beside the narrow link.
+/// Faults in addition to the narrow link.
 struct Trouble {
-  /// Parts in a hundred.
+  /// In percent.
   unsigned LostOrders = 0;
   bool FreezesMembers = false;
   bool FreezesCoordinator = false;
@@ -66,12 +67,12 @@
   }
 
   void run(Duration length) { Time.runUntil(Time.now() + length); }
-  /// Lets all troubles end.
+  /// Ends all faults.
   void calm() { What = {}; }
 
   PlatformGroup &group() { return Group; }
   unsigned changes() const { return Changes; }
-  /// How long after the start.
+  /// Time from the start to the first change.
   Duration firstChange() const { return FirstChange; }
   std::uint64_t orders() const { return Orders; }
   std::uint64_t bytes() const { return Bytes; }
@@ -105,7 +106,7 @@
 
   bool isFrozen(unsigned rank) const { return Time.now() < FrozenUntil[rank]; }
 
-  /// Runs \p what when the host of \p rank is awake.
+  /// Runs \p what once the host of \p rank is not frozen.
   void onHost(unsigned rank, std::function<void()> what) {
     if (!isFrozen(rank)) {
       what();
@@ -242,19 +243,20 @@
 };
 } // namespace
 
-TEST_CASE("a large group changes its map again and again on a narrow link") {
+TEST_CASE("a large group changes its map repeatedly on a narrow link") {
   for (unsigned size : {32U, 96U, 256U}) {
     INFO("ranks " << size);
     LargeWorld world(size, 1, {});
     world.run(seconds(30));
-    // With 256 ranks what differs takes 2.4 s of the lane's part of the link.
+    // With 256 ranks, sending the differences takes 2.4 s of the maps' share of
+    // the link.
     CHECK(world.changes() >= (size < 256 ? 10 : 5));
-    // The first one, from what the ranks were formed with.
+    // The first change starts from the map that the group was formed with.
     CHECK(world.firstChange() < seconds(5));
     CHECK(world.group().mixedSteps() == 0);
     // Steps wait for a few orders at most, not for maps.
     CHECK(world.group().heldSteps() <= world.changes() * 2);
-    // Five orders a change and rank, one more at the coordinator's start, and
+    // Five orders per change and rank, one more at the coordinator's start, and
     // those of the change under way.
     std::uint64_t wanted = std::uint64_t(size) * 5 * (world.changes() + 2);
     CHECK(world.orders() <= wanted);
@@ -262,7 +264,7 @@
   }
 }
 
-TEST_CASE("no step of a large group has two maps while hosts freeze") {
+TEST_CASE("no step of a large group uses two maps while hosts freeze") {
   Trouble trouble;
   trouble.LostOrders = 2;
   trouble.FreezesMembers = true;
@@ -273,7 +275,7 @@
       LargeWorld world(size, seed, trouble);
       world.run(seconds(40));
       CHECK(world.group().mixedSteps() == 0);
-      // Once nothing fails any more, maps come into force again.
+      // Once all faults have ended, maps come into force again.
       world.calm();
       world.run(seconds(5));
       unsigned before = world.changes();
--- a/unittests/Experts/LeaseHolderTest.cpp
+++ b/unittests/Experts/LeaseHolderTest.cpp
@@ -1,7 +1,7 @@
-//===- LeaseHolderTest.cpp - a holder acts only within its lease ----------===//
+//===- LeaseHolderTest.cpp - a holder acts only while its lease is valid --===//
 //
-// The holder's own clock ends its right to act, however late it hears of the
-// loss; and receivers turn away what an earlier holder sent.
+// The holder's own clock ends its right to act, however late the holder learns
+// of the loss, and receivers refuse orders of an earlier holder.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 static constexpr TimePoint Start{std::chrono::hours(1)};
 
-/// Reads the key as free and takes it; the holder then has revision 7.
+/// Reads the key as free and acquires it; the holder then has revision 7.
 static void take(LeaseHolder &holder, TimePoint now) {
   REQUIRE(std::holds_alternative<KvGet>(*holder.nextCall(now)));
   holder.onReply({ResultCode::NotFound, {}, {}}, now);
@@ -26,7 +26,7 @@
   holder.onReply({ResultCode::Ok, Revision(7), {}}, now);
 }
 
-TEST_CASE("a candidate writes only a key that it read as free") {
+TEST_CASE("a candidate writes the key only after reading it as free") {
   LeaseHolder holder("k", "a", LeaseLimits());
   REQUIRE(std::holds_alternative<KvGet>(*holder.nextCall(Start)));
   holder.onReply({ResultCode::Ok, Revision(3), "other"}, Start);
@@ -34,7 +34,7 @@
   CHECK_FALSE(holder.isHeld(Start));
 }
 
-TEST_CASE("a holder that was started again takes its own lease at once") {
+TEST_CASE("a restarted holder takes over its own lease at once") {
   LeaseLimits limits;
   limits.TakesOwn = true;
   LeaseHolder holder("k", "a", limits);
@@ -47,14 +47,14 @@
   CHECK(put->Expected == Revision(3));
 }
 
-TEST_CASE("without fenced orders an earlier life's lease has to run out") {
+TEST_CASE("without fenced orders, an earlier incarnation's lease must expire") {
   LeaseHolder holder("k", "a", LeaseLimits());
   REQUIRE(std::holds_alternative<KvGet>(*holder.nextCall(Start)));
   holder.onReply({ResultCode::Ok, Revision(3), "a"}, Start);
   CHECK_FALSE(holder.nextCall(Start).has_value());
 }
 
-TEST_CASE("a holder that was paused past its lease does not act") {
+TEST_CASE("a holder that was paused past the end of its lease does not act") {
   LeaseLimits limits;
   LeaseHolder holder("k", "a", limits);
   take(holder, Start);
@@ -64,7 +64,7 @@
   CHECK_FALSE(holder.isHeld(Start + limits.Span - limits.Margin));
 }
 
-TEST_CASE("a renewal counts from when it was sent, not answered") {
+TEST_CASE("a renewal counts from its sending, not from its reply") {
   LeaseLimits limits;
   LeaseHolder holder("k", "a", limits);
   take(holder, Start);
@@ -75,7 +75,8 @@
   CHECK(holder.isHeld(sent + limits.Span - limits.Margin - Duration(1)));
 }
 
-TEST_CASE("a lost lease is taken anew at once, with another epoch") {
+TEST_CASE(
+    "after losing its lease, a holder tries to acquire it again at once") {
   LeaseHolder holder("k", "a", LeaseLimits());
   take(holder, Start);
   TimePoint late = Start + seconds(60);
@@ -87,14 +88,14 @@
   REQUIRE(call);
   REQUIRE(std::holds_alternative<KvPut>(*call));
   CHECK(std::get<KvPut>(*call).Expected == Revision(0));
-  // Another was faster.
+  // Another process was faster.
   holder.onReply({ResultCode::PlatformConflict, Revision(9), "b"}, late);
   CHECK_FALSE(holder.isHeld(late));
   CHECK(holder.holder() == "b");
   CHECK(std::holds_alternative<KvGet>(*holder.nextCall(late + seconds(10))));
 }
 
-TEST_CASE("the store's word on a lease ends with its span") {
+TEST_CASE("the store's confirmation of a lease ends with the lease's span") {
   LeaseLimits limits;
   limits.OutlastsOutage = true;
   LeaseHolder holder("k", "a", limits);
@@ -106,7 +107,7 @@
   CHECK(holder.newestHolder() == Revision(7));
 }
 
-/// Gives \p order to the member and has \p rank answer what it asks.
+/// Passes \p order to the member and lets \p rank answer its engine orders.
 static GroupReply exchange(GroupMember &member, standin::RankModel &rank,
                            const GroupOrder &order) {
   GroupReply last;
@@ -122,8 +123,8 @@
   return last;
 }
 
-TEST_CASE("orders of an earlier epoch are turned away by the agent") {
-  // The engine checks nothing, so the agent must.
+TEST_CASE("the agent refuses orders of an earlier epoch") {
+  // The engine checks no epoch, so the agent must.
   standin::RankModel rank(false);
   GroupMember member(GroupId("g"), EndpointId("a"), MemberLimits());
   GroupActions begun = member.start(Start);
@@ -153,7 +154,7 @@
   CHECK_FALSE(rank.state().Armed.has_value());
 }
 
-TEST_CASE("in an outage a holder goes on only where its orders are fenced") {
+TEST_CASE("during an outage a holder acts on only if its orders are fenced") {
   for (bool outlasts : {false, true}) {
     LeaseLimits limits;
     limits.OutlastsOutage = outlasts;
@@ -186,7 +187,7 @@
   CHECK(holder.holder() == "other");
 }
 
-TEST_CASE("a lease is taken over only from the holder that was read") {
+TEST_CASE("a lease is taken over only from the holder that was last read") {
   LeaseHolder holder("k", "a", LeaseLimits());
   holder.takeOver(Start);
   REQUIRE(std::holds_alternative<KvGet>(*holder.nextCall(Start)));
@@ -201,7 +202,7 @@
   CHECK(holder.holder() == "third");
 }
 
-TEST_CASE("a group that stands with requests is noticed, an idle one is not") {
+TEST_CASE("a stalled group with requests is detected, an idle one is not") {
   StallWatch watch;
   RankStatus status;
   status.IsOpen = true;
@@ -215,7 +216,8 @@
   CHECK_FALSE(watch.isStalled(status, Start + seconds(9)));
 }
 
-TEST_CASE("a holder that doubts its lease acts on only if its write stands") {
+TEST_CASE(
+    "a holder that doubts its lease acts on only if its write is in place") {
   for (std::uint64_t found : {7U, 8U}) {
     LeaseHolder holder("k", "a", LeaseLimits());
     take(holder, Start);
@@ -227,7 +229,7 @@
   }
 }
 
-TEST_CASE("a group whose steps are slow does not stand still") {
+TEST_CASE("a group whose steps are slow is not taken for stalled") {
   StallWatch watch;
   RankStatus status;
   status.Running = 1;
@@ -239,27 +241,28 @@
     status.Step = StepNumber((now - Start) / step);
     stalls += watch.isStalled(status, now) ? 1 : 0;
   }
-  // Only the first slow step can surprise it, in three looks.
+  // Only the first slow step may be taken for a stall, in three checks.
   CHECK(stalls <= 3);
-  // One that stops altogether still stands.
+  // A group that stops completely is still detected.
   CHECK(watch.isStalled(status, now + StallWatch::LongestPatience));
 }
 
-TEST_CASE("a late answer to an earlier call gives nobody another's lease") {
+TEST_CASE(
+    "a late reply to an earlier call does not give a holder another's lease") {
   LeaseLimits limits;
   LeaseHolder holder("k", "a", limits);
-  // A read that is answered only after the next one has led to a lease.
+  // A read that is answered only after the next read has led to a lease.
   REQUIRE(std::holds_alternative<KvGet>(*holder.nextCall(Start)));
   std::uint64_t late = holder.lastCall();
   TimePoint now = Start + limits.RetryEvery + limits.CallTimeout;
   REQUIRE(std::holds_alternative<KvGet>(*holder.nextCall(now)));
   holder.onReply(holder.lastCall(), {ResultCode::NotFound, {}, {}}, now);
   REQUIRE(std::holds_alternative<KvPut>(*holder.nextCall(now)));
-  SUBCASE("while it is being taken") {
+  SUBCASE("while the lease is being acquired") {
     holder.onReply(late, {ResultCode::Ok, Revision(9), "other"}, now);
     CHECK_FALSE(holder.isHeld(now));
   }
-  SUBCASE("while it is being renewed") {
+  SUBCASE("while the lease is being renewed") {
     holder.onReply(holder.lastCall(), {ResultCode::Ok, Revision(7), {}}, now);
     now += limits.RenewEvery;
     REQUIRE(std::holds_alternative<KvRenew>(*holder.nextCall(now)));
--- a/unittests/Experts/MapDeltaTest.cpp
+++ b/unittests/Experts/MapDeltaTest.cpp
@@ -1,7 +1,7 @@
-//===- MapDeltaTest.cpp - what a change of maps costs a link --------------===//
+//===- MapDeltaTest.cpp - encoding maps as differences --------------------===//
 //
-// Agents must end up with the very map that the coordinator meant, whatever was
-// lost; a change must not fill the coordinator's link.
+// Agents must reconstruct exactly the map that the coordinator sent, whatever
+// was lost, and a change must not fill the coordinator's link.
 //
 //===----------------------------------------------------------------------===//
 
@@ -46,7 +46,7 @@
   return bytes.ByteSizeLong();
 }
 
-TEST_CASE("a change of one expert a rank takes little of the link") {
+TEST_CASE("a change of one expert per rank takes few bytes") {
   GroupPlacement map = dealt();
   SentMaps sent;
   std::size_t first = bytesOf(sent.shorten(3, Link, prepare(1, map), 0));
@@ -54,14 +54,14 @@
   for (unsigned rank = 0; rank < Ranks; ++rank)
     map[rank][rank % Sets][0] = 100;
   std::size_t change = bytesOf(sent.shorten(3, Link, prepare(2, map), 0));
-  // Some three bytes a copy: by whole sets it were eleven.
+  // About three bytes per copy; whole sets would take eleven.
   CHECK(change < std::size_t(Ranks) * 4 + 32);
-  // A copy of an order that got no answer says only that nothing changed.
+  // A repeated order without a reply only says that nothing has changed.
   CHECK(bytesOf(sent.shorten(3, Link, prepare(2, map), 1)) < 64);
 }
 
 TEST_CASE(
-    "the first map of a group is told by what differs from the dealt one") {
+    "the first map of a group is sent as differences from the dealt map") {
   constexpr unsigned Size = 96;
   constexpr unsigned AllExperts = 192;
   GroupPlacement map(Size, RankPlacement(Sets));
@@ -76,10 +76,10 @@
     map[rank][rank % Sets].push_back((rank * 7) % AllExperts);
   SentMaps sent;
   MapOrder order = sent.shorten(3, Link, prepare(9, map), 0);
-  // Three bytes a place; by whole sets ten.
+  // Three bytes per place; whole sets would take ten.
   CHECK(bytesOf(order) < Size * 4 + 32);
   CHECK(bytesOf(order) < whole / 3);
-  // Over the wire and back.
+  // Encode the order and decode it.
   wire::Message bytes;
   encode(order, bytes);
   std::optional<Message> read = decode(bytes);
@@ -87,14 +87,14 @@
   auto told = std::get<MapOrder>(*read);
   REQUIRE(ToldMap().complete(told));
   CHECK(*told.Map == map);
-  // What no longer resembles it goes whole.
+  // A map that differs too much from the dealt map is sent whole.
   for (auto &rank : map)
     for (auto &set : rank)
       std::reverse(set.begin(), set.end());
   CHECK(SentMaps().shorten(3, Link, prepare(10, map), 0).Map);
 }
 
-TEST_CASE("a dealt map of no group's shape is not read") {
+TEST_CASE("a dealt map of an impossible shape is not decoded") {
   MapOrder order = prepare(1, {});
   order.Map = nullptr;
   for (DealtShape it :
@@ -107,7 +107,8 @@
   }
 }
 
-TEST_CASE("places go over the wire as they were, damaged ones are not read") {
+TEST_CASE(
+    "replaced experts survive encoding, and damaged ones are not decoded") {
   MapOrder order = prepare(7, {});
   order.Map = nullptr;
   order.Delta = MapDelta{MapVersion(6), {{1, 2, {3, 4}}}};
@@ -138,7 +139,7 @@
   }
 }
 
-TEST_CASE("what is told by what differs is the same map, whatever was lost") {
+TEST_CASE("a map sent as differences is restored exactly, whatever was lost") {
   std::mt19937 random(1);
   GroupPlacement map = dealt();
   SentMaps sent;
@@ -163,7 +164,7 @@
       CHECK(*order.Map == map);
     }
     CHECK(isTaken);
-    // The agent may be started again between two changes.
+    // The agent may restart between two changes.
     if (random() % 20 == 0) {
       told = ToldMap();
       link += random() % 2;
@@ -171,7 +172,7 @@
   }
 }
 
-TEST_CASE("another link or an unanswered copy gets the whole map again") {
+TEST_CASE("a new link or two unanswered copies cause a whole map") {
   GroupPlacement map = dealt();
   SentMaps sent;
   CHECK(sent.shorten(3, Link, prepare(1, map), 0).Map);
@@ -184,7 +185,7 @@
   CHECK_FALSE(sent.shorten(3, Link, hold, 0).Delta.has_value());
 }
 
-TEST_CASE("a difference from a map that is not known here is not taken") {
+TEST_CASE("differences from an unknown map are refused") {
   ToldMap told;
   MapOrder order;
   order.Kind = MapOrderKind::Prepare;
@@ -206,7 +207,7 @@
   CHECK(told.complete(order));
   REQUIRE(order.Map);
   CHECK(*order.Map == dealt());
-  // The same base again: this agent now knows version 5.
+  // The agent now knows version 5, so the earlier base is refused.
   MapOrder late;
   late.Kind = MapOrderKind::Prepare;
   late.Version = MapVersion(6);
--- a/unittests/Experts/MapSwitchTest.cpp
+++ b/unittests/Experts/MapSwitchTest.cpp
@@ -1,8 +1,8 @@
 //===- MapSwitchTest.cpp - one map in every step --------------------------===//
 //
-// Coordinators change the maps of a fake group while orders are lost or carried
-// out seconds late, coordinators freeze at any point and others take over, and
-// the platform forms the group anew.
+// Coordinators change the maps of a simulated group while orders are lost or
+// executed seconds late, coordinators freeze at any point and others take over,
+// and the platform re-forms the group.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,14 +23,14 @@
 using std::chrono::seconds;
 
 namespace {
-/// What may go wrong.
+/// The faults to inject.
 struct Faults {
-  /// Parts in a hundred.
+  /// In percent.
   unsigned LostOrders = 0;
   unsigned LateOrders = 0;
   unsigned LostReplies = 0;
-  /// Orders that wait for a retransmission on their link, with whatever else
-  /// goes to that rank meanwhile.
+  /// Percentage of orders that wait for a retransmission on their link,
+  /// together with all later messages to the same rank.
   unsigned Retransmitted = 0;
   bool Freezes = false;
   bool Forms = false;
@@ -57,9 +57,9 @@
   unsigned changes() const { return Changes; }
   /// The longest time without a step.
   Duration longestStand() const { return LongestStand; }
-  /// The coordinator's host freezes for four seconds as it gives the first
-  /// order of this kind of the next change; another takes over after half a
-  /// second.
+  /// When the coordinator sends its first order of kind \p kind in the next
+  /// change, its host freezes for four seconds. Another coordinator takes over
+  /// after half a second.
   void freezeGiver(MapOrderKind kind) {
     IsNextChange = false;
     GiverFreezes = true;
@@ -69,10 +69,11 @@
 private:
   struct Coordinator {
     MapSwitch Switch{SwitchLimits()};
-    /// The rank on its host; that cannot be reached while the host is frozen.
+    /// The rank on the coordinator's host, unreachable while the host is
+    /// frozen.
     unsigned Own = 0;
     TimePoint FrozenUntil;
-    /// What came while it was frozen.
+    /// Inputs that arrived while the host was frozen.
     std::vector<std::function<void()>> Waiting;
   };
 
@@ -95,7 +96,7 @@
     Coordinators.push_back(it);
   }
 
-  /// When the host of \p rank can be reached again.
+  /// When the host of \p rank is reachable again.
   TimePoint wakeTime(unsigned rank) const {
     TimePoint out;
     for (const auto &it : Coordinators)
@@ -104,7 +105,7 @@
     return out;
   }
 
-  /// Runs \p what at \p it now, or when it wakes.
+  /// Runs \p what at \p it now, or once its host is no longer frozen.
   void deliver(const std::shared_ptr<Coordinator> &it,
                std::function<void()> what) {
     if (Time.now() < it->FrozenUntil) {
@@ -158,7 +159,7 @@
     at(milliseconds(20), [this] { tick(); });
   }
 
-  /// The latest coordinator freezes and another takes over meanwhile.
+  /// Freezes the latest coordinator; another one takes over meanwhile.
   void freeze() {
     Coordinators.back()->FrozenUntil =
         Time.now() + draw(milliseconds(5), seconds(4));
@@ -180,7 +181,7 @@
     bool isLate = chance(What.LateOrders);
     Duration after = isLate ? draw(seconds(2), seconds(12))
                             : draw(milliseconds(1), milliseconds(8));
-    // Holds and every second copy go to the rank past its agent.
+    // Holds and every second copy bypass the rank's agent.
     bool isOtherWay = tries % 2 == 1 || order.Kind == MapOrderKind::Hold;
     if (!isOtherWay)
       after = std::max(after, waitOnLink(rank));
@@ -194,7 +195,7 @@
        [this, from, rank, order, isLate] { take(from, rank, order, isLate); });
   }
 
-  /// How long an order waits on the way over the agent of \p rank.
+  /// How long an order waits on the link to the agent of \p rank.
   Duration waitOnLink(unsigned rank) {
     bool isFree = LinkFreeAt[rank] <= Time.now();
     if (isFree && chance(What.Retransmitted))
@@ -203,7 +204,7 @@
     return LinkFreeAt[rank] - Time.now();
   }
 
-  /// The order has come to the host of \p rank.
+  /// Called when the order has reached the host of \p rank.
   void take(const std::shared_ptr<Coordinator> &from, unsigned rank,
             const MapOrder &order, bool isLate) {
     TimePoint wake = wakeTime(rank);
@@ -247,10 +248,10 @@
   CHECK(world.group().heldSteps() <= world.changes() / 10);
 }
 
-TEST_CASE("a group does not stand for orders that are sent again") {
-  // One data centre of three loses three packets in a hundred: of the orders of
-  // each phase to 63 ranks one or two wait for a retransmission, of 0.2 s at
-  // least. With four ranks one order in five makes that likely.
+TEST_CASE("a group does not stall for orders that are retransmitted") {
+  // One data centre of three loses three percent of its packets: in each phase,
+  // one or two of the orders to 63 ranks wait for a retransmission of at least
+  // 0.2 s. With four ranks, one order in five makes that likely.
   Faults faults;
   faults.Retransmitted = 20;
   unsigned changes = 0;
@@ -264,12 +265,12 @@
     held += world.group().heldSteps();
   }
   CHECK(changes > 20 * 30);
-  // 0.75; with every copy on the way over the agent 3.0, and 4.0 if besides the
-  // change is for the next step each time.
+  // 0.75 held steps per change. With every copy sent through the agent there
+  // are 3.0, and 4.0 if also every change is armed for the next step.
   CHECK(double(held) / double(changes) < 0.78);
 }
 
-TEST_CASE("no step has two maps while links lose packets and hosts freeze") {
+TEST_CASE("no step uses two maps while links lose packets and hosts freeze") {
   Faults faults;
   faults.Retransmitted = 15;
   faults.LostOrders = 5;
@@ -287,7 +288,7 @@
   CHECK(changes > 500);
 }
 
-TEST_CASE("no step has two maps while orders and coordinators fail") {
+TEST_CASE("no step uses two maps while orders and coordinators fail") {
   Faults faults;
   faults.LostOrders = 10;
   faults.LateOrders = 15;
@@ -305,7 +306,7 @@
   CHECK(changes > 1000);
 }
 
-TEST_CASE("the random runs see it when ranks take orders that come too late") {
+TEST_CASE("the random runs detect ranks that accept late orders") {
   Faults faults;
   faults.LateOrders = 30;
   faults.LostReplies = 10;
@@ -320,7 +321,7 @@
   CHECK(mixed > 0);
 }
 
-TEST_CASE("a group is not left held when its coordinator dies") {
+TEST_CASE("a group does not stay held when its coordinators freeze") {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     INFO("seed " << seed);
     Faults faults;
@@ -328,13 +329,13 @@
     SwitchWorld world(seed, faults);
     world.run(seconds(120));
     // Frozen coordinators are replaced within two seconds, so the group makes
-    // most of its steps; one takes 60 ms at the mean.
+    // most of its steps; a step takes 60 ms on average.
     CHECK(world.group().status(0, TimePoint(std::chrono::hours(2))).Step.get() >
           900);
   }
 }
 
-TEST_CASE("a group stands for a second at most when its coordinator freezes") {
+TEST_CASE("a group stalls for at most a second when its coordinator freezes") {
   for (MapOrderKind kind : {MapOrderKind::Hold, MapOrderKind::Arm}) {
     unsigned longStands = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
@@ -345,31 +346,32 @@
       world.run(seconds(15));
       CHECK(world.group().mixedSteps() == 0);
       longStands += world.longestStand() > seconds(1) ? 1 : 0;
-      // Changes go on after it has woken.
+      // Changes continue once the host is no longer frozen.
       unsigned before = world.changes();
       world.run(seconds(10));
       CHECK(world.changes() > before);
     }
-    // Later, while every rank but the coordinator's own is armed, nobody could
-    // know whether that one is.
+    // In later phases, while every rank but the coordinator's own is armed,
+    // nobody could know whether that rank is armed.
     CHECK(longStands == 0);
   }
 }
 
 namespace {
-/// A switch that knows both ranks of a group.
+/// A coordinator that has received the states of both ranks of a group.
 class TwoRankSwitch {
 public:
   TwoRankSwitch() : Group(2, true) {}
 
-  /// Leads under \p lease and has both ranks answer until nothing is to do.
+  /// Leads under \p lease and lets both ranks reply until nothing is left to
+  /// do.
   void lead(std::uint64_t lease) {
     Switch.lead(lease, 0, Now);
     for (unsigned i = 0; i < 8; ++i)
       report();
   }
 
-  /// Gives the ranks what is in \p actions, and the switch their answers.
+  /// Passes \p actions to the ranks and their replies to the coordinator.
   void give(const SwitchActions &actions) {
     for (const SendMapOrder &it : actions) {
       LastFence = std::max(LastFence, it.Order.Fence);
@@ -392,7 +394,7 @@
 };
 } // namespace
 
-TEST_CASE("a coordinator that doubted its lease leads on with it") {
+TEST_CASE("a coordinator that doubted its lease can lead again under it") {
   TwoRankSwitch world;
   world.lead(1);
   CHECK(world.Switch.canBegin(world.Now));
@@ -402,15 +404,15 @@
   world.lead(1);
   CHECK(world.Switch.isLeading());
   CHECK(world.Switch.canBegin(world.Now));
-  // What it ordered before is void.
+  // Its earlier orders are void.
   CHECK(world.LastFence > before);
 }
 
-TEST_CASE("what a rank was before it started again counts for nothing") {
+TEST_CASE("the state of a rank from before its restart is not used") {
   TwoRankSwitch world;
   world.lead(1);
   REQUIRE(world.Switch.canBegin(world.Now));
-  // A change is under way as rank 1 starts again, under the same formation.
+  // A change is under way when rank 1 restarts under the same formation.
   world.Switch.begin(GroupPlacement(2, {{1}}), world.Now);
   REQUIRE(world.Switch.phase() == SwitchPhase::Preparing);
   RankStatus reborn = world.Group.status(1, world.Now);
@@ -419,11 +421,12 @@
   world.Switch.onStatus(1, reborn, world.Now, world.Now);
   CHECK(world.Switch.phase() != SwitchPhase::Preparing);
   CHECK_FALSE(world.Switch.canBegin(world.Now));
-  // Its placement of before is not taken for the present one.
+  // The placement from before the restart is not used.
   CHECK(world.Switch.placement().back().empty());
 }
 
-TEST_CASE("a coordinator that met a higher token never leads under its lease") {
+TEST_CASE(
+    "a coordinator that saw a higher token never leads again under its lease") {
   TwoRankSwitch world;
   world.lead(1);
   MapOrder other;
@@ -443,8 +446,8 @@
   MapSwitch coordinator{SwitchLimits()};
   TimePoint now{seconds(100)};
   coordinator.lead(1, Own, now);
-  // Whether the own rank's order to arm was refused, and who was disarmed
-  // since.
+  // Whether the order to arm the coordinator's own rank was refused, and which
+  // ranks were disarmed since then.
   bool isRefused = false;
   std::vector<unsigned> disarmed;
   std::function<void(const SwitchActions &)> give =
@@ -455,7 +458,7 @@
           if (isRefused && it.Order.Kind == MapOrderKind::Disarm)
             disarmed.push_back(it.Rank);
         }
-        // All orders of one moment are on their way before any is answered.
+        // All orders of one call are in transit before any of them is answered.
         for (const SendMapOrder &it : actions) {
           bool isOwnArm = it.Order.Kind == MapOrderKind::Arm && it.Rank == Own;
           MapOrderResult result = isOwnArm ? MapOrderResult::Refused
@@ -476,7 +479,7 @@
   CHECK(disarmed.front() == Own);
 }
 
-TEST_CASE("coordinators of two leases never give one version to two maps") {
+TEST_CASE("coordinators of two leases never assign one version to two maps") {
   TwoRankSwitch world;
   world.lead(1);
   world.give(world.Switch.begin(GroupPlacement(2, {{1}}), world.Now));
@@ -486,7 +489,7 @@
   world.give(world.Switch.begin(GroupPlacement(2, {{0}}), world.Now));
   CHECK(world.Switch.version() > first);
 }
-TEST_CASE("no change begins while a rank's placement is not known") {
+TEST_CASE("no change begins while a rank's placement is unknown") {
   PlatformGroup group(2, true);
   MapSwitch coordinator{SwitchLimits()};
   TimePoint now{seconds(100)};
--- a/unittests/Experts/MemberConsentTest.cpp
+++ b/unittests/Experts/MemberConsentTest.cpp
@@ -1,7 +1,7 @@
-//===- MemberConsentTest.cpp - leading a group without the store ----------===//
+//===- MemberConsentTest.cpp - leading during a store outage --------------===//
 //
-// Two coordinators are never both followed by every agent, and an agent never
-// goes back to an earlier one.
+// No two coordinators are ever both followed by every agent, and an agent never
+// returns to an earlier coordinator.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +16,7 @@
 static constexpr TimePoint Start{seconds(100)};
 static constexpr unsigned Size = 3;
 
-/// A coordinator that the store has confirmed and all agents follow.
+/// A coordinator that the key-value store has confirmed and all agents follow.
 static MemberConsent makeFollowed() {
   MemberConsent out;
   out.onAlive(Start);
@@ -26,7 +26,7 @@
   return out;
 }
 
-TEST_CASE("a group follows while each of its agents reports") {
+TEST_CASE("a group follows its coordinator while every agent reports") {
   MemberConsent consent = makeFollowed();
   CHECK(consent.isFollowed(Size, MemberConsent::Fresh, Start));
   CHECK_FALSE(consent.isFollowed(Size + 1, MemberConsent::Fresh, Start));
@@ -40,13 +40,14 @@
   CHECK(consent.isFollowed(Size, MemberConsent::Fresh, later));
 }
 
-TEST_CASE("a successor waits for longer than its predecessor goes on") {
-  // The predecessor may take a last report this much later than it was sent.
+TEST_CASE("a successor waits longer than its predecessor acts") {
+  // The predecessor may receive a last report this long after it was sent.
   Duration goesOn = MemberConsent::Longest + MemberConsent::Pause;
   CHECK(goesOn < MemberConsent::SuccessorWait);
 }
 
-TEST_CASE("reports found after a pause say nothing until the store has") {
+TEST_CASE(
+    "reports read after a pause count only after the store's confirmation") {
   MemberConsent consent = makeFollowed();
   TimePoint woken = Start + MemberConsent::Pause;
   consent.onAlive(woken);
@@ -59,13 +60,13 @@
   CHECK(consent.isFollowed(Size, MemberConsent::Longest, woken));
 }
 
-TEST_CASE("an agent passes on no order of a coordinator before the latest") {
+TEST_CASE("an agent passes on orders of the latest coordinator only") {
   OrderGate gate;
   CHECK(gate.accepts(5, 5));
   CHECK(gate.accepts(7, 5));
   CHECK_FALSE(gate.accepts(5, 5));
   CHECK(gate.accepts(7, 7));
-  // The store tells of a later one before it has given an order.
+  // The key-value store reports a later holder before its first order arrives.
   CHECK_FALSE(gate.accepts(7, 9));
   CHECK_FALSE(gate.accepts(8, 7));
   CHECK(gate.accepts(9, 9));
--- a/unittests/Experts/NaivePlanner.h
+++ b/unittests/Experts/NaivePlanner.h
@@ -1,7 +1,8 @@
 //===- NaivePlanner.h - full re-placement, for comparison -------*- C++ -*-===//
 //
-// Places every layer anew each time: copies go to the experts with the most
-// tokens a copy, then all copies to the least loaded ranks, heaviest first.
+// Places every layer from scratch each time: copies go to the experts with the
+// most tokens per copy, then all copies go to the least loaded ranks, heaviest
+// first.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +16,7 @@
 
 namespace ospreyspur::test {
 
-/// One layer placed from nothing.
+/// One layer placed from scratch.
 inline std::vector<ExpertIndex> placeLayer(const MapShape &shape,
                                            const std::vector<double> &demand) {
   std::vector<std::size_t> copies(shape.Experts, 1);
@@ -56,7 +57,8 @@
   return layer;
 }
 
-/// The whole map placed from nothing; a layer without a place stays.
+/// The whole map placed from scratch; a layer without a valid placement keeps
+/// its current one.
 inline ExpertMap planNaively(const ExpertMap &current,
                              const ExpertDemand &demand) {
   ExpertMap map = current;
--- a/unittests/Experts/OneMapTest.cpp
+++ b/unittests/Experts/OneMapTest.cpp
@@ -1,8 +1,9 @@
 //===- OneMapTest.cpp - all ranks use one map in every step ---------------===//
 //
 // Thousands of seeded interleavings of map changes with killed and frozen
-// agents, lost engines, lost, doubled and late messages and platform faults.
-// The ranks run in lock-step and record the map that each used in each step.
+// agents, lost engines, lost, duplicated and late messages, and platform
+// faults. The ranks run in lock-step and record the map that each used in each
+// step.
 //
 //===----------------------------------------------------------------------===//
 
@@ -90,7 +91,7 @@
     }
   }
 
-  /// Where everybody stands, for failure messages.
+  /// The state of all agents and ranks, for failure messages.
   std::string describe() const {
     std::ostringstream os;
     for (const Agent &it : Agents) {
@@ -124,7 +125,7 @@
     std::unique_ptr<GroupCoordinator> Coordinator;
     std::uint64_t Life = 0;
     TimePoint FrozenUntil;
-    /// The step begun last, and the map it uses.
+    /// The last step that began, and the map that it uses.
     std::pair<Generation, StepNumber> StartedStep;
     std::pair<MapVersion, std::string> StartedMap;
   };
@@ -147,7 +148,8 @@
     apply(i, agent.Coordinator->onTimer(Scheduler.now()));
   }
 
-  /// Hands an input to agent \p i unless it was replaced; later if frozen.
+  /// Passes an input to agent \p i unless the agent was replaced; delayed while
+  /// the agent is frozen.
   void input(std::size_t i, std::uint64_t life,
              const std::function<GroupActions(Agent &)> &give) {
     Agent &agent = Agents[i];
@@ -214,7 +216,7 @@
     });
   }
 
-  /// The order and its answer may be lost, also one after the other.
+  /// The order and its reply may each be lost.
   void perform(std::size_t i, const OrderRank &action) {
     std::uint64_t life = Agents[i].Life;
     if (Scheduler.chance(Rates.Message))
@@ -257,7 +259,7 @@
   }
 
   /// One tick of the fabric: each rank begins its next step once all ranks of
-  /// its generation have begun the one before.
+  /// its generation have begun the previous one.
   void step() {
     for (std::size_t i = 0; i < RankCount; ++i) {
       Agent &agent = Agents[i];
@@ -304,7 +306,7 @@
 };
 } // namespace
 
-/// Changes maps under faults, then heals and waits for the last map.
+/// Changes maps under faults, then ends the faults and waits for the last map.
 static void runFaultySeed(std::uint64_t seed, bool checksFences,
                           std::uint64_t &switches) {
   GroupWorld world(seed, FaultRates(), checksFences);
@@ -334,12 +336,12 @@
     INFO("seed ", seed);
     runFaultySeed(seed, true, switches);
   }
-  // The group must have switched in most seeds, or they prove little.
+  // Unless the group switches in most seeds, the test proves little.
   CHECK(switches > Seeds * RankCount);
   MESSAGE("rank switches: ", switches);
 }
 
-TEST_CASE("engines that check no fences are kept to one map by their agents") {
+TEST_CASE("agents keep engines that do not check fences on one map") {
   std::uint64_t switches = 0;
   for (std::uint64_t seed = 1; seed <= Seeds / 4; ++seed) {
     INFO("seed ", seed);
--- a/unittests/Experts/PlacementPlannerTest.cpp
+++ b/unittests/Experts/PlacementPlannerTest.cpp
@@ -1,7 +1,7 @@
 //===- PlacementPlannerTest.cpp - plans for groups of ranks ---------------===//
 //
-// Plans keep every expert somewhere, stay inside their bounds, and even out a
-// skewed demand.
+// Plans keep every expert on some rank, respect their limits and even out an
+// imbalanced demand.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 static constexpr std::size_t Sets = 6;
 static constexpr std::size_t Experts = 64;
 
-/// Experts dealt in turn, as the platform's first map does.
+/// Experts assigned in turn, as in the platform's first map.
 static GroupPlacement dealt() {
   GroupPlacement out(Ranks, RankPlacement(Sets));
   for (std::size_t set = 0; set < Sets; ++set)
@@ -37,7 +37,7 @@
   return out;
 }
 
-/// New experts of each rank in one set.
+/// Number of experts that are new to a rank in one set.
 static std::size_t countNew(const std::vector<ExpertNumber> &before,
                             const std::vector<ExpertNumber> &after) {
   return std::size_t(
@@ -46,7 +46,7 @@
       }));
 }
 
-TEST_CASE("a placement plan evens the demand out within its bounds") {
+TEST_CASE("a placement plan balances the load within its limits") {
   PlacementLimits limits{11, 4, 3, 0.04};
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
@@ -73,7 +73,7 @@
   }
 }
 
-TEST_CASE("repeated plans come close to even and then stay") {
+TEST_CASE("repeated plans come close to balance and then stop") {
   PlacementPlanner planner({11, 4, 3, 0.04});
   std::vector<double> demand = skewed(3);
   GroupPlacement present = dealt();
@@ -86,13 +86,13 @@
   CHECK(planner.plan(present, demand).Copies == 0);
 }
 
-TEST_CASE("a demand of nothing needs no copies") {
+TEST_CASE("no demand causes no copies") {
   PlacementPlanner planner({11, 4, 3, 0.04});
   std::vector<double> none(Sets * Experts, 0.0);
   CHECK(planner.plan(dealt(), none).Copies == 0);
 }
 
-TEST_CASE("a slow rank bears less than the others") {
+TEST_CASE("a slow rank gets less load than the others") {
   PlacementLimits limits{11, 4, 3, 0.04};
   std::vector<double> paces(Ranks, 1.0);
   constexpr unsigned Slow = 3;
@@ -113,7 +113,7 @@
     for (const RankPlacement &rank : plan.Placement)
       held.insert(rank[set].begin(), rank[set].end());
     CHECK(held.size() == Experts);
-    // It gave up what others hold, too.
+    // The slow rank has dropped experts that other ranks also hold.
     CHECK(plan.Placement[Slow][set].size() <= Experts / Ranks);
   }
 }
--- a/unittests/Experts/RankReportTest.cpp
+++ b/unittests/Experts/RankReportTest.cpp
@@ -1,7 +1,7 @@
-//===- RankReportTest.cpp - what a rank's agent tells its coordinator -----===//
+//===- RankReportTest.cpp - an agent's reports to its coordinator ---------===//
 //
-// Samples of demand, states by exception, and questions before a takeover: what
-// a coordinator receives is bounded whatever its group's size.
+// Samples of demand, reports on change, and queries before a takeover: the
+// traffic to a coordinator is bounded whatever the group's size.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,7 +30,7 @@
   return out;
 }
 
-TEST_CASE("a rank's restart is no demand") {
+TEST_CASE("a rank's restart is not counted as demand") {
   DemandSampler sampler{SampleLimits()};
   RankStatus status = makeStatus({1000, 0});
   CHECK(sampler.take(status, Start).empty());
@@ -61,7 +61,8 @@
   CHECK(sampler.isDue(Start + limits.Shortest));
 }
 
-TEST_CASE("a sample tells of the last moments, whatever the time between two") {
+TEST_CASE(
+    "a sample covers only a recent window, whatever the sampling interval") {
   SampleLimits limits;
   // One sample of each of 63 ranks in 0.64 s, as on links of 8 Mbit/s.
   limits.BytesPerSecond = 200000;
@@ -77,7 +78,7 @@
   unsigned reads = 0;
   for (int ms = 0; ms < 20000; ms += 10) {
     TimePoint now = Start + milliseconds(ms);
-    // One choice of each expert in a millisecond.
+    // Each expert is chosen once per millisecond.
     counted += 10;
     if (!sampler.isDue(now))
       continue;
@@ -95,7 +96,7 @@
   CHECK(reads <= 2 * told + 2);
 }
 
-TEST_CASE("members that start together take turns at telling") {
+TEST_CASE("members that start together send their samples in turn") {
   SampleLimits limits;
   limits.BytesPerSecond = 200000;
   constexpr std::size_t Counts = std::size_t(8) * 252;
@@ -112,13 +113,13 @@
   }
   CHECK(firsts.back() - firsts.front() >= milliseconds(600));
   for (std::size_t i = 1; i < firsts.size(); ++i) {
-    // The first few sample at once, as their turn comes so soon.
+    // The first few ranks sample at once, since their turn comes so soon.
     CHECK(firsts[i] - firsts[i - 1] >= milliseconds(0));
     CHECK(firsts[i] - firsts[i - 1] <= milliseconds(125));
   }
 }
 
-TEST_CASE("a state in which only the step is new is told now and then") {
+TEST_CASE("a status in which only the step is new is reported at intervals") {
   StatusFilter filter;
   RankStatus status = makeStatus({});
   std::optional<RankStatus> first = filter.filter(status, "a:1", Start);
@@ -135,7 +136,7 @@
   CHECK(told == 10);
 }
 
-TEST_CASE("whatever a coordinator decides by is told at once") {
+TEST_CASE("every change that a coordinator decides by is reported at once") {
   using Change = void (*)(RankStatus &);
   for (Change change : std::initializer_list<Change>{
            [](RankStatus &it) { it.Formation = FormationEpoch(2); },
@@ -156,7 +157,7 @@
   }
 }
 
-TEST_CASE("a new coordinator, or one whose link broke, is told everything") {
+TEST_CASE("a new coordinator, or one after a broken link, gets a full report") {
   StatusFilter filter;
   RankStatus status = makeStatus({});
   REQUIRE(filter.filter(status, "a:1", Start));
@@ -169,7 +170,7 @@
   CHECK(again->Placement == status.Placement);
 }
 
-TEST_CASE("a coordinator that answers keeps its lease") {
+TEST_CASE("a coordinator that replies keeps its lease") {
   for (unsigned rank : {0U, 5U, 31U, 255U}) {
     CoordinatorWatch watch;
     unsigned takeovers = 0;
@@ -184,7 +185,8 @@
   }
 }
 
-TEST_CASE("one that answers though its group stands for long loses it") {
+TEST_CASE(
+    "a coordinator that replies but stays stalled too long loses its lease") {
   CoordinatorWatch watch;
   unsigned takeovers = 0;
   for (int ms = 0; ms < 3000; ms += 60) {
@@ -197,7 +199,8 @@
   CHECK(takeovers == 1);
 }
 
-TEST_CASE("ranks take a silent coordinator's lease one after the other") {
+TEST_CASE(
+    "ranks wait in turn before they take over a silent coordinator's lease") {
   auto takesAfter = [](unsigned rank) {
     CoordinatorWatch watch;
     for (int ms = 0;; ++ms)
@@ -211,9 +214,9 @@
   CHECK(takesAfter(255) == 650);
 }
 
-TEST_CASE("a successor is asked before its lease is taken, too") {
+TEST_CASE("a successor is also queried before its lease is taken over") {
   // The members of a large group learn one after the other that the lease has
-  // gone to another one, which is at work and answers.
+  // moved to another coordinator, which is working and replies.
   for (unsigned rank : {2U, 16U, 31U, 255U})
     for (int learntAfter : {30, 200, 600}) {
       CoordinatorWatch watch;
--- a/unittests/Experts/ReachPlannerTest.cpp
+++ b/unittests/Experts/ReachPlannerTest.cpp
@@ -1,7 +1,7 @@
-//===- ReachPlannerTest.cpp - reads past silent agents --------------------===//
+//===- ReachPlannerTest.cpp - direct reads of silent agents' ranks --------===//
 //
-// A few silent agents are passed by; a choked link of the coordinator's own
-// must not make it ask the whole fleet.
+// The coordinator bypasses a few silent agents; a congested link of its own
+// must not make it query the whole fleet.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +16,7 @@
 using std::chrono::seconds;
 
 namespace {
-/// A coordinator of a group and the fleet's list of endpoints.
+/// A coordinator of a group, with the fleet's list of endpoints.
 class ReachWorld {
 public:
   explicit ReachWorld(unsigned size) : Size(size) {}
@@ -31,7 +31,7 @@
         Reach.onHeard(rank, addressOf(rank), Now);
   }
 
-  /// The reads of \p length, while all but \p silent are heard.
+  /// The reads during \p length while all agents but those of \p silent report.
   std::multiset<TcpAddress> readsOf(Duration length,
                                     const std::set<unsigned> &silent) {
     std::multiset<TcpAddress> out;
@@ -56,7 +56,7 @@
 }
 } // namespace
 
-TEST_CASE("only the ranks of silent agents are read, each in its turn") {
+TEST_CASE("only the ranks of silent agents are read, each in turn") {
   ReachWorld world(96);
   world.hearAllBut({});
   std::set<unsigned> silent = {3, 40, 41};
@@ -77,7 +77,7 @@
   CHECK_FALSE(world.Reach.takeListQuestion(96, world.Now));
 }
 
-TEST_CASE("a new coordinator reads a bounded number of ranks in a round") {
+TEST_CASE("a new coordinator reads a limited number of ranks per round") {
   ReachWorld world(96);
   world.hearAllBut({});
   world.Now += seconds(1);
@@ -85,15 +85,15 @@
   auto reads = world.readsOf(seconds(1), firstRanks(96));
   CHECK(reads.size() >= 70);
   CHECK(reads.size() <= 96);
-  // Each once before any is read again.
+  // Every rank is read once before any is read again.
   CHECK(std::set<TcpAddress>(reads.begin(), reads.end()).size() ==
         reads.size());
-  // Members that have not found it by then are not missing one by one.
+  // After that time, members without contact are no longer read one by one.
   world.readsOf(seconds(2), firstRanks(96));
   CHECK(world.readsOf(seconds(5), firstRanks(96)).empty());
 }
 
-TEST_CASE("a rank never heard of is looked for in the list, not among others") {
+TEST_CASE("a rank that never reported is sought in the endpoint list") {
   ReachWorld world(8);
   world.Reach.lead(world.Now);
   world.hearAllBut({7});
@@ -108,7 +108,7 @@
   world.Reach.setCandidates(listed);
   std::vector<TcpAddress> reads = world.Reach.take(8, world.Now);
   CHECK(reads.size() == 9);
-  // Those of the other group are not asked again.
+  // Addresses of the other group are not queried again.
   for (unsigned n = 8; n < 16; ++n)
     world.Reach.onOther(ReachWorld::addressOf(n));
   world.Now += seconds(1);
