--- a/include/ospreyspur/Experts/ChangeBudget.h
+++ b/include/ospreyspur/Experts/ChangeBudget.h
@@ -31,12 +31,12 @@
   /// engine iterations than one large change. Where one copy exceeds this time,
   /// the opposite holds: with experts of 0.4 s, two copies per rank after a
   /// shift scored 0.70 under steady load, one copy scored 0.81.
-  static constexpr Duration Copying = std::chrono::milliseconds(60);
+  static constexpr Duration CopyTimePerChange = std::chrono::milliseconds(60);
   /// Minimum gain of a copy, as a fraction of a set's mean load, if copying an
-  /// expert takes DearCopy or longer. Shorter copies need proportionally less.
-  /// Fits groups of 8 ranks whose experts take 0.15 s.
+  /// expert takes ExpensiveCopyTime or longer. Shorter copies need
+  /// proportionally less. Fits groups of 8 ranks whose experts take 0.15 s.
   static constexpr double MinGain = 0.04;
-  static constexpr Duration DearCopy = std::chrono::milliseconds(150);
+  static constexpr Duration ExpensiveCopyTime = std::chrono::milliseconds(150);
 
   /// \p copyTime is the time that a rank takes to copy one expert; zero if
   /// unknown.
--- a/include/ospreyspur/Experts/CoordinatorWatch.h
+++ b/include/ospreyspur/Experts/CoordinatorWatch.h
@@ -31,16 +31,16 @@
 public:
   /// Time that a coordinator has for its reply: a few round trips of a busy
   /// host.
-  static constexpr Duration AnswerTime = std::chrono::milliseconds(150);
+  static constexpr Duration ReplyTimeout = std::chrono::milliseconds(150);
   /// Additional wait per rank. Writing to the key-value store and the work that
   /// follows take about 20 ms.
-  static constexpr Duration NextRankAfter = std::chrono::milliseconds(30);
+  static constexpr Duration RankDelay = std::chrono::milliseconds(30);
   /// Upper bound of the additional wait, for the last ranks of a large group.
-  static constexpr Duration LongestTurn = std::chrono::milliseconds(500);
+  static constexpr Duration MaxRankDelay = std::chrono::milliseconds(500);
   /// A coordinator that replies but does not get its group to progress within
   /// this time may be cut off from some of its ranks. The coordinator's own
   /// phases time out earlier.
-  static constexpr Duration LongestTrust = std::chrono::milliseconds(2500);
+  static constexpr Duration MaxTrustTime = std::chrono::milliseconds(2500);
 
   /// Called while the group is stalled, as seen by the member of \p rank, which
   /// regards \p holder as its coordinator. A new holder is evaluated from the
@@ -54,8 +54,8 @@
 
 private:
   std::string Holder;
-  std::optional<TimePoint> DoubtedAt;
-  std::optional<TimePoint> AskedAt;
+  std::optional<TimePoint> SuspectedAt;
+  std::optional<TimePoint> QueriedAt;
   TimePoint TrustedUntil;
 };
 
--- a/include/ospreyspur/Experts/DemandMeter.h
+++ b/include/ospreyspur/Experts/DemandMeter.h
@@ -31,24 +31,24 @@
   /// Number of recent samples that are compared with the sum. In a group of 63
   /// ranks, eight samples of one rank each differed from the group's demand by
   /// 0.04, sixteen by 0.03. In a small group they cover every rank.
-  std::size_t Recent = 12;
+  std::size_t RecentSamples = 12;
   /// The recent samples contradict the sum if they differ from it by more than
-  /// this fraction of the demand and by more than UsualFactor times the average
-  /// difference. With few decoding streams, the demand changes whenever one of
-  /// them ends.
-  double LeastChange = 0.09;
-  double UsualFactor = 2.5;
+  /// this fraction of the demand and by more than DifferenceFactor times the
+  /// average difference. With few decoding streams, the demand changes whenever
+  /// one of them ends.
+  double MinDifference = 0.09;
+  double DifferenceFactor = 2.5;
   /// Number of comparisons in the average difference, and the minimum number
   /// before the average is used.
-  std::size_t UsualOf = 64;
-  std::size_t UsualFrom = 16;
+  std::size_t AverageWindow = 64;
+  std::size_t MinComparisons = 16;
   /// Number of recent samples from which the sum restarts.
-  std::size_t KeptAtChange = 4;
+  std::size_t SamplesKeptAtShift = 4;
   /// Number of samples after a shift before a plan may be made. The first
   /// samples still contain demand from before the shift.
-  std::size_t SettledFrom = 12;
+  std::size_t SettlingSamples = 12;
   /// Longest wait for these samples.
-  Duration LongestSettling = std::chrono::milliseconds(250);
+  Duration MaxSettlingTime = std::chrono::milliseconds(250);
 };
 
 /// The demand of one group.
@@ -80,20 +80,20 @@
   void fade(TimePoint now);
   void compare(TimePoint now);
   double distance() const;
-  bool isContradicted(double apart) const;
+  bool isContradicted(double difference) const;
 
   DemandLimits Limits;
   std::vector<double> Demand;
   TimePoint FadedAt;
   /// The most recent samples, which Demand includes, and their sum.
-  std::deque<Counts> Last;
-  std::vector<double> LastSum;
+  std::deque<Counts> RecentCounts;
+  std::vector<double> RecentSum;
   /// Average difference between the recent samples and the older ones.
-  double Usual = 0;
-  std::size_t Compared = 0;
+  double AverageDifference = 0;
+  std::size_t Comparisons = 0;
   std::uint64_t Changes = 0;
-  TimePoint ChangedAt;
-  std::size_t SinceChange = 0;
+  TimePoint ShiftedAt;
+  std::size_t SamplesSinceShift = 0;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Experts/DemandSampler.h
+++ b/include/ospreyspur/Experts/DemandSampler.h
@@ -22,12 +22,12 @@
 /// How often a rank's demand is sampled.
 struct SampleLimits {
   /// Shortest interval between two samples.
-  Duration Shortest = std::chrono::milliseconds(110);
+  Duration MinInterval = std::chrono::milliseconds(110);
   /// Longest desired interval. Demand shifts every few seconds; samples at
   /// longer intervals report one shift after the next one has already occurred,
   /// so that plans follow chance. A larger part of the link is used to avoid
   /// this.
-  Duration LongestWanted = std::chrono::milliseconds(800);
+  Duration MaxDesiredInterval = std::chrono::milliseconds(800);
   /// Longest time that a sample covers: about two engine iterations of a busy
   /// group.
   Duration Window = std::chrono::milliseconds(150);
@@ -35,7 +35,7 @@
   /// coordinator. A sample has one byte for each expert of each set.
   double BytesPerSecond = 0;
   /// The higher rate used where the interval would otherwise exceed
-  /// LongestWanted.
+  /// MaxDesiredInterval.
   double MostBytesPerSecond = 0;
 };
 
@@ -63,12 +63,12 @@
   SampleLimits Limits;
   /// When counts are needed next.
   TimePoint NextAt;
-  /// Whether Last is the start of a sample. Otherwise Last only identifies what
-  /// is counted.
+  /// Whether LastCounts is the start of a sample. Otherwise LastCounts only
+  /// identifies what is counted.
   bool IsSampling = false;
   RankLife Life;
   FormationEpoch Formation;
-  std::vector<std::uint64_t> Last;
+  std::vector<std::uint64_t> LastCounts;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Experts/GroupCoordinator.h
+++ b/include/ospreyspur/Experts/GroupCoordinator.h
@@ -32,10 +32,10 @@
   Duration ArmTimeout = std::chrono::seconds(2);
   Duration LoadTimeout = std::chrono::seconds(120);
   /// Interval at which an idle coordinator queries its members.
-  Duration SurveyEvery = std::chrono::seconds(15);
+  Duration SurveyInterval = std::chrono::seconds(15);
   /// After this time without completion, a phase checks whether the members of
   /// the group have changed.
-  Duration PhasePatience = std::chrono::seconds(10);
+  Duration PhaseTimeout = std::chrono::seconds(10);
   /// Number of steps between the highest reported step and the step of a
   /// switch.
   std::uint64_t StepsAhead = 200;
@@ -104,9 +104,9 @@
   void onRecordRead(const KvReply &reply, TimePoint now);
   void onRecordWritten(const KvReply &reply, TimePoint now);
   void onPhaseTimeout(TimePoint now);
-  void sendToSilent(GroupOrderKind kind);
+  void sendToPending(GroupOrderKind kind);
   void callPlatform(KvCall call);
-  bool hasAllAnswered() const;
+  bool haveAllReplied() const;
   GroupActions takeActions();
 
   GroupId Group;
@@ -120,13 +120,13 @@
   TimePoint PhaseEnd;
   TimePoint ResendAt;
   GroupRecord Record;
-  Revision RecordAt;
-  GroupRecord Writing;
+  Revision RecordRevision;
+  GroupRecord PendingRecord;
   KvCallId LeaseCall;
   KvCallId RecordCall;
   std::uint64_t LastCall = 0;
   /// Replies to the order of the current phase.
-  std::map<EndpointId, GroupReply> Answers;
+  std::map<EndpointId, GroupReply> Replies;
   /// The attempt under way and its step.
   ChangeAttempt Attempt;
   StepNumber ArmStep;
--- a/include/ospreyspur/Experts/LayerPlanner.h
+++ b/include/ospreyspur/Experts/LayerPlanner.h
@@ -50,7 +50,7 @@
 private:
   std::size_t rankOf(std::size_t slot) const { return slot / SlotsPerRank; }
   bool holds(std::size_t rank, ExpertIndex expert) const;
-  double perCopy(ExpertIndex expert) const;
+  double loadPerCopy(ExpertIndex expert) const;
   void tryCopies(std::size_t hot, LayerChange &best) const;
   void tryExchanges(std::size_t hot, LayerChange &best) const;
   double highestAfterCopy(ExpertIndex expert, std::size_t slot) const;
--- a/include/ospreyspur/Experts/LeaseHolder.h
+++ b/include/ospreyspur/Experts/LeaseHolder.h
@@ -90,20 +90,20 @@
   Epoch epoch() const { return Epoch(Holder.get()); }
   /// The value that the current holder wrote, as last read; empty if there was
   /// no holder.
-  const std::string &holder() const { return HolderText; }
+  const std::string &holder() const { return HolderName; }
   /// When nextCall() must be called next.
   TimePoint nextTimer() const;
 
 private:
   void lose(TimePoint now);
   void hold(Revision at);
-  void noteHolder(const KvReply &reply);
+  void recordHolder(const KvReply &reply);
 
   std::string Key;
   std::string Self;
   LeaseLimits Limits;
   Revision Holder;
-  std::string HolderText;
+  std::string HolderName;
   /// The last revision that this process wrote, if doubt() was called for it.
   Revision Doubted;
   /// The revision of another holder as last read; 0 if there was none.
@@ -118,7 +118,7 @@
   /// Whether the next call takes the lease over from OtherHolder.
   bool IsTakingOver = false;
   /// Whether the pending call tries to acquire the lease.
-  bool IsTaking = false;
+  bool IsAcquiring = false;
   bool IsStopped = false;
 };
 
--- a/include/ospreyspur/Experts/MapDelta.h
+++ b/include/ospreyspur/Experts/MapDelta.h
@@ -37,12 +37,12 @@
     std::shared_ptr<const GroupPlacement> Map;
   };
 
-  std::optional<MapDelta> dealtDelta(const MapOrder &order);
+  std::optional<MapDelta> initialDelta(const MapOrder &order);
 
   std::map<unsigned, Sent> LastSent;
-  /// The last map that was compared with the dealt map, and its delta if that
-  /// is shorter than the whole map.
-  std::shared_ptr<const GroupPlacement> DealtOf;
+  /// The last map that was compared with the map that its group was formed
+  /// with, and the delta if that is shorter than the whole map.
+  std::shared_ptr<const GroupPlacement> InitialDeltaOf;
   std::optional<MapDelta> Dealt;
 };
 
--- a/include/ospreyspur/Experts/MapSwitch.h
+++ b/include/ospreyspur/Experts/MapSwitch.h
@@ -63,13 +63,13 @@
   /// take a few milliseconds, a step of a busy group some tens.
   std::uint64_t StepsAhead = 1;
   /// Upper bound of the delay that slow replies may add to the change.
-  Duration LongestAhead = std::chrono::milliseconds(800);
+  Duration MaxStepDelay = std::chrono::milliseconds(800);
   /// Number of steps that the coordinator tries to hold; the group may step
   /// faster than estimated.
   unsigned MaxHolds = 3;
   /// A rank is unreachable if a coordinator that has led for at least this time
   /// has received nothing from the rank.
-  Duration MissingAfter = std::chrono::milliseconds(150);
+  Duration UnreachableAfter = std::chrono::milliseconds(150);
   /// Window over which the group's step rate is measured.
   Duration StepWindow = std::chrono::milliseconds(300);
 };
@@ -169,7 +169,7 @@
     MapOrder Order;
     TimePoint SentAt;
     /// When the first copy was sent.
-    TimePoint FirstAt;
+    TimePoint FirstSentAt;
     unsigned Tries = 0;
     /// Whether the order waits for the link.
     bool IsQueued = false;
@@ -185,14 +185,14 @@
   bool isSurveyed() const;
   bool allRanks(const std::function<bool(const RankStatus &)> &test) const;
   void forgetRank(unsigned rank, TimePoint now);
-  void noteStep(const RankStatus &status, TimePoint now);
+  void recordStep(const RankStatus &status, TimePoint now);
   void enter(SwitchPhase phase, TimePoint now);
   void enterIdle(TimePoint now);
   void advance(TimePoint now);
   void advanceIdle(TimePoint now);
   void advanceFrozen(TimePoint now);
   void advanceConfirming(TimePoint now);
-  std::optional<unsigned> missingRank(TimePoint now) const;
+  std::optional<unsigned> unreachableRank(TimePoint now) const;
   bool canDecide(TimePoint now) const;
   MapVersion newestVersion() const;
   bool isNewestArmed() const;
@@ -204,7 +204,7 @@
   bool beginClaiming(TimePoint now);
   void holdNext(TimePoint now);
   std::uint64_t stepsAhead() const;
-  void noteAnswer(const Pending &order, TimePoint now);
+  void recordReply(const Pending &order, TimePoint now);
   void orderAll(MapOrderKind kind, TimePoint now);
   void order(unsigned rank, MapOrderKind kind, MapVersion version,
              StepNumber step, TimePoint now);
@@ -212,7 +212,7 @@
   void send(unsigned rank, MapOrder order, unsigned tries, TimePoint now);
   void onRefused(unsigned tries, TimePoint now);
   void onPhaseDone(TimePoint now);
-  void takeBack(TimePoint now);
+  void rollBack(TimePoint now);
   void release(bool isChanging, TimePoint now);
   SwitchActions takeActions();
 
@@ -234,7 +234,7 @@
   unsigned HoldTries = 0;
   /// The slowest reply of this change so far, or half that of the previous
   /// change.
-  Duration SlowestAnswer{};
+  Duration SlowestReply{};
   /// The stages of the phase that follow the pending orders.
   std::deque<std::vector<PlannedOrder>> Stages;
   /// In Releasing: whether the group will begin the step with Version.
--- a/include/ospreyspur/Experts/MemberConsent.h
+++ b/include/ospreyspur/Experts/MemberConsent.h
@@ -43,19 +43,19 @@
   /// Records that this process is running; must be called before any decision.
   void onAlive(TimePoint now);
   /// The key-value store has confirmed that the lease is still valid.
-  void onConfirmed() { IsVoid = false; }
+  void onConfirmed() { AreReportsStale = false; }
   /// The agent of \p rank has reported to this coordinator.
-  void onReport(unsigned rank, TimePoint now) { HeardAt[rank] = now; }
-  void clear() { HeardAt.clear(); }
+  void onReport(unsigned rank, TimePoint now) { ReportedAt[rank] = now; }
+  void clear() { ReportedAt.clear(); }
 
   /// Whether all agents of a group of \p size have reported within \p age.
   bool isFollowed(unsigned size, Duration age, TimePoint now) const;
 
 private:
-  std::map<unsigned, TimePoint> HeardAt;
-  TimePoint AliveAt;
+  std::map<unsigned, TimePoint> ReportedAt;
+  TimePoint LastActiveAt;
   /// Whether reports may date from before a pause.
-  bool IsVoid = true;
+  bool AreReportsStale = true;
 };
 
 /// Refuses orders that were sent by coordinators before the latest one known.
--- a/include/ospreyspur/Experts/ReachPlanner.h
+++ b/include/ospreyspur/Experts/ReachPlanner.h
@@ -28,17 +28,17 @@
 class ReachPlanner {
 public:
   /// An agent's rank is read directly after this time without a report.
-  static constexpr Duration SilenceOfAgent = std::chrono::milliseconds(400);
+  static constexpr Duration AgentTimeout = std::chrono::milliseconds(400);
   /// Interval between two rounds of reads.
-  static constexpr Duration RoundEvery = std::chrono::milliseconds(200);
+  static constexpr Duration RoundInterval = std::chrono::milliseconds(200);
   /// Number of reads in a round. With an estimated 0.7 KB each, they take 56 KB
   /// a second: a thirteenth of a link of 6 Mbit/s.
-  static constexpr std::size_t MostInRound = 16;
+  static constexpr std::size_t MaxReadsPerRound = 16;
   /// Time after the start of leading during which direct reads are always
   /// allowed: members look for their coordinator every 1.5 s.
   static constexpr Duration JoinTime = std::chrono::milliseconds(2000);
   /// Interval between two reads of the list of endpoints.
-  static constexpr Duration ListEvery = std::chrono::milliseconds(1000);
+  static constexpr Duration ListInterval = std::chrono::milliseconds(1000);
 
   // Commands.
 
@@ -49,7 +49,7 @@
   /// \p address belongs to \p rank of this group.
   void onFound(unsigned rank, const TcpAddress &address);
   /// \p address belongs to another group or to none.
-  void onOther(const TcpAddress &address) { Others.insert(address); }
+  void onOther(const TcpAddress &address) { ForeignAddresses.insert(address); }
   /// Sets the addresses at which ranks may be found.
   void setCandidates(std::vector<TcpAddress> addresses);
   /// The addresses to read now, in a group of \p size ranks.
@@ -63,17 +63,17 @@
 
 private:
   std::vector<unsigned> silentRanks(unsigned size, TimePoint now) const;
-  bool mayReach(std::size_t silent, unsigned size, TimePoint now) const;
+  bool mayRead(std::size_t silent, unsigned size, TimePoint now) const;
 
-  std::map<unsigned, TimePoint> HeardAt;
+  std::map<unsigned, TimePoint> ReportedAt;
   std::map<unsigned, TcpAddress> Addresses;
-  std::set<TcpAddress> Others;
+  std::set<TcpAddress> ForeignAddresses;
   std::vector<TcpAddress> Candidates;
   TimePoint LedSince;
   TimePoint NextRound;
   TimePoint NextList;
   /// Where the next round continues.
-  std::size_t Turn = 0;
+  std::size_t NextTarget = 0;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Experts/SetPlacement.h
+++ b/include/ospreyspur/Experts/SetPlacement.h
@@ -54,9 +54,9 @@
   void changeLoad(unsigned rank, double by) const;
   void tryCopy(const ExpertCopy &copy) const;
   void undoCopy() const;
-  std::vector<unsigned> hottest() const;
-  void considerGivingUp(unsigned rank, std::optional<ExpertCopy> &best) const;
-  void considerRank(unsigned rank, ExpertNumber expert, std::size_t places,
+  std::vector<unsigned> mostLoadedRanks() const;
+  void considerDropping(unsigned rank, std::optional<ExpertCopy> &best) const;
+  void considerCopy(unsigned rank, ExpertNumber expert, std::size_t places,
                     std::optional<ExpertCopy> &best) const;
   void consider(ExpertCopy copy, std::optional<ExpertCopy> &best) const;
 
@@ -65,7 +65,7 @@
   std::vector<double> Paces;
   /// The ranks that hold each expert.
   std::vector<std::vector<unsigned>> Holders;
-  struct Touched {
+  struct SavedLoad {
     unsigned Rank = 0;
     double Load = 0;
   };
@@ -73,12 +73,12 @@
   /// Each rank's share of the demand, times its slowdown. Evaluating a copy
   /// changes the loads of a few ranks only; they are restored afterwards.
   mutable std::vector<double> Loads;
-  mutable std::vector<Touched> Undo;
+  mutable std::vector<SavedLoad> SavedLoads;
   /// The sum of the eighth powers of Loads.
-  mutable double Sum = 0;
+  mutable double EighthPowerSum = 0;
   double Mean = 0;
-  /// The load measure of Loads: the eighth root of Sum.
-  double Measure = 0;
+  /// The load measure of Loads: the eighth root of EighthPowerSum.
+  double LoadMeasure = 0;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Experts/StallWatch.h
+++ b/include/ospreyspur/Experts/StallWatch.h
@@ -20,13 +20,13 @@
 public:
   /// A step of a busy group takes a tenth of a second, a step held by a healthy
   /// change little more.
-  static constexpr Duration Patience = std::chrono::milliseconds(450);
+  static constexpr Duration StallTimeout = std::chrono::milliseconds(450);
   /// Upper bound for a group whose steps are slow, such as one with a slow
   /// rank.
-  static constexpr Duration LongestPatience = std::chrono::milliseconds(2000);
+  static constexpr Duration MaxStallTimeout = std::chrono::milliseconds(2000);
 
   /// Handles the rank's state. Returns true once the group has begun no step
-  /// for Patience, or for twice the duration of its last step if that is
+  /// for StallTimeout, or for twice the duration of its last step if that is
   /// longer.
   bool isStalled(const RankStatus &status, TimePoint now) {
     bool isSame = IsKnown && status.Formation == Formation;
@@ -40,7 +40,8 @@
       Step = status.Step;
       Since = now;
     }
-    return now - Since >= std::clamp(2 * LastStep, Patience, LongestPatience);
+    return now - Since >=
+           std::clamp(2 * LastStep, StallTimeout, MaxStallTimeout);
   }
 
   /// Restarts the measurement at \p now.
--- a/include/ospreyspur/Experts/StatusFilter.h
+++ b/include/ospreyspur/Experts/StatusFilter.h
@@ -21,7 +21,7 @@
 /// Filters the states of one rank.
 class StatusFilter {
 public:
-  /// Less than half of ReachPlanner::SilenceOfAgent, the silence after which a
+  /// Less than half of ReachPlanner::AgentTimeout, the silence after which a
   /// coordinator reads a rank directly.
   static constexpr Duration Heartbeat = std::chrono::milliseconds(180);
 
@@ -31,14 +31,14 @@
                                    const std::string &address, TimePoint now);
 
   /// Called when the previous report may not have arrived.
-  void reset() { Told.reset(); }
+  void reset() { LastReport.reset(); }
 
 private:
-  bool isNews(const RankStatus &status) const;
+  bool hasChanged(const RankStatus &status) const;
 
-  std::optional<RankStatus> Told;
+  std::optional<RankStatus> LastReport;
   std::string Address;
-  TimePoint ToldAt;
+  TimePoint LastReportAt;
 };
 
 } // namespace ospreyspur
--- a/lib/Experts/ChangeBudget.cpp
+++ b/lib/Experts/ChangeBudget.cpp
@@ -13,13 +13,13 @@
 std::size_t ChangeBudget::newPerRank(bool isUrgent) const {
   if (CopyTime <= Duration::zero())
     return isUrgent ? 2 : 1;
-  Duration copying = isUrgent ? 2 * Copying : Copying;
-  return std::max(std::size_t(1), static_cast<std::size_t>(copying / CopyTime));
+  Duration budget = isUrgent ? 2 * CopyTimePerChange : CopyTimePerChange;
+  return std::max(std::size_t(1), static_cast<std::size_t>(budget / CopyTime));
 }
 
 double ChangeBudget::minGain() const {
   if (CopyTime <= Duration::zero())
     return MinGain;
-  double part = double(CopyTime.count()) / double(DearCopy.count());
+  double part = double(CopyTime.count()) / double(ExpensiveCopyTime.count());
   return MinGain * std::min(part, 1.0);
 }
--- a/lib/Experts/CoordinatorWatch.cpp
+++ b/lib/Experts/CoordinatorWatch.cpp
@@ -19,29 +19,29 @@
     Holder = holder;
     onMoving();
   }
-  if (!DoubtedAt)
-    DoubtedAt = now;
-  bool isTrusted = now - *DoubtedAt < LongestTrust;
+  if (!SuspectedAt)
+    SuspectedAt = now;
+  bool isTrusted = now - *SuspectedAt < MaxTrustTime;
   if (isTrusted && now < TrustedUntil)
     return StallAdvice::Wait;
-  if (!AskedAt && isTrusted) {
-    AskedAt = now;
+  if (!QueriedAt && isTrusted) {
+    QueriedAt = now;
     return StallAdvice::Ask;
   }
-  Duration turn = std::min(NextRankAfter * int(rank), LongestTurn);
-  if (isTrusted && now - *AskedAt < AnswerTime + turn)
+  Duration delay = std::min(RankDelay * int(rank), MaxRankDelay);
+  if (isTrusted && now - *QueriedAt < ReplyTimeout + delay)
     return StallAdvice::Wait;
   onMoving();
   return StallAdvice::TakeOver;
 }
 
 void CoordinatorWatch::onAnswer(TimePoint now) {
-  AskedAt.reset();
+  QueriedAt.reset();
   TrustedUntil = now + TrustTime;
 }
 
 void CoordinatorWatch::onMoving() {
-  DoubtedAt.reset();
-  AskedAt.reset();
+  SuspectedAt.reset();
+  QueriedAt.reset();
   TrustedUntil = TimePoint();
 }
--- a/lib/Experts/DemandMeter.cpp
+++ b/lib/Experts/DemandMeter.cpp
@@ -26,79 +26,81 @@
 
 void DemandMeter::add(const std::vector<std::uint32_t> &picks, TimePoint now) {
   if (picks.size() != Demand.size()) {
-    Last.clear();
-    LastSum.clear();
+    RecentCounts.clear();
+    RecentSum.clear();
     Demand.assign(picks.size(), 0);
-    Usual = 0;
-    Compared = 0;
+    AverageDifference = 0;
+    Comparisons = 0;
   }
   fade(now);
   addTo(Demand, picks, 1);
-  addTo(LastSum, picks, 1);
-  Last.push_back(picks);
-  ++SinceChange;
-  if (Last.size() > Limits.Recent) {
-    addTo(LastSum, Last.front(), -1);
-    Last.pop_front();
+  addTo(RecentSum, picks, 1);
+  RecentCounts.push_back(picks);
+  ++SamplesSinceShift;
+  if (RecentCounts.size() > Limits.RecentSamples) {
+    addTo(RecentSum, RecentCounts.front(), -1);
+    RecentCounts.pop_front();
   }
-  if (SinceChange >= 2 * Limits.Recent)
+  if (SamplesSinceShift >= 2 * Limits.RecentSamples)
     compare(now);
 }
 
 double DemandMeter::total() const { return sumOf(Demand); }
 
 bool DemandMeter::isSettled(TimePoint now) const {
-  return Changes == 0 || SinceChange >= Limits.SettledFrom ||
-         now - ChangedAt >= Limits.LongestSettling;
+  return Changes == 0 || SamplesSinceShift >= Limits.SettlingSamples ||
+         now - ShiftedAt >= Limits.MaxSettlingTime;
 }
 
 /// The longer the demand has been stable, the longer older samples count.
 void DemandMeter::fade(TimePoint now) {
-  Duration alike = Changes == 0 ? Limits.HalfLife : now - ChangedAt;
+  Duration stableTime = Changes == 0 ? Limits.HalfLife : now - ShiftedAt;
   Duration halfLife =
-      std::clamp(alike, Limits.ShortestHalfLife, Limits.HalfLife);
+      std::clamp(stableTime, Limits.ShortestHalfLife, Limits.HalfLife);
   double age = double((now - FadedAt).count()) / double(halfLife.count());
   FadedAt = now;
-  double rest = std::exp2(-age);
+  double remaining = std::exp2(-age);
   for (double &it : Demand)
-    it *= rest;
+    it *= remaining;
 }
 
-bool DemandMeter::isContradicted(double apart) const {
-  return Compared >= Limits.UsualFrom && apart > Limits.LeastChange &&
-         apart > Limits.UsualFactor * Usual;
+bool DemandMeter::isContradicted(double difference) const {
+  return Comparisons >= Limits.MinComparisons &&
+         difference > Limits.MinDifference &&
+         difference > Limits.DifferenceFactor * AverageDifference;
 }
 
 /// Restarts the sum if the recent samples contradict it.
 void DemandMeter::compare(TimePoint now) {
-  double apart = distance();
-  bool isChange = isContradicted(apart);
-  Compared = std::min(Compared + 1, Limits.UsualOf);
-  Usual += (apart - Usual) / double(Compared);
-  if (!isChange)
+  double difference = distance();
+  bool isShift = isContradicted(difference);
+  Comparisons = std::min(Comparisons + 1, Limits.AverageWindow);
+  AverageDifference += (difference - AverageDifference) / double(Comparisons);
+  if (!isShift)
     return;
   ++Changes;
-  ChangedAt = now;
+  ShiftedAt = now;
   // Older samples contain more of the demand from before the shift.
-  std::size_t kept = std::min(Last.size(), Limits.KeptAtChange);
-  Last.erase(Last.begin(), Last.end() - std::ptrdiff_t(kept));
-  SinceChange = Last.size();
-  std::fill(LastSum.begin(), LastSum.end(), 0.0);
-  for (const Counts &it : Last)
-    addTo(LastSum, it, 1);
-  Demand = LastSum;
+  std::size_t kept = std::min(RecentCounts.size(), Limits.SamplesKeptAtShift);
+  RecentCounts.erase(RecentCounts.begin(),
+                     RecentCounts.end() - std::ptrdiff_t(kept));
+  SamplesSinceShift = RecentCounts.size();
+  std::fill(RecentSum.begin(), RecentSum.end(), 0.0);
+  for (const Counts &it : RecentCounts)
+    addTo(RecentSum, it, 1);
+  Demand = RecentSum;
 }
 
 /// The fraction of the demand by which the recent and the older samples differ.
 double DemandMeter::distance() const {
-  double recent = sumOf(LastSum);
+  double recent = sumOf(RecentSum);
   double before = total() - recent;
   if (recent <= 0 || before <= 0)
     return 0;
   double out = 0;
   for (std::size_t i = 0; i < Demand.size(); ++i) {
-    double older = std::max(0.0, Demand[i] - LastSum[i]);
-    out += std::abs(LastSum[i] / recent - older / before);
+    double older = std::max(0.0, Demand[i] - RecentSum[i]);
+    out += std::abs(RecentSum[i] / recent - older / before);
   }
   return out / 2;
 }
--- a/lib/Experts/DemandSampler.cpp
+++ b/lib/Experts/DemandSampler.cpp
@@ -12,14 +12,14 @@
 
 bool DemandSampler::isSameCount(const RankStatus &status) const {
   return Life == status.Life && Formation == status.Formation &&
-         Last.size() == status.Counts.size();
+         LastCounts.size() == status.Counts.size();
 }
 
 void DemandSampler::begin(const RankStatus &status) {
   IsSampling = true;
   Life = status.Life;
   Formation = status.Formation;
-  Last = status.Counts;
+  LastCounts = status.Counts;
 }
 
 std::vector<std::uint32_t> DemandSampler::take(const RankStatus &status,
@@ -30,7 +30,7 @@
     begin(status);
     // Members of a group that start together send their samples in turn.
     Duration turn = every * status.Rank / std::max(status.Size, 1U);
-    IsSampling = turn < Limits.Shortest;
+    IsSampling = turn < Limits.MinInterval;
     NextAt = now + (IsSampling ? window : turn);
     return {};
   }
@@ -41,7 +41,7 @@
   }
   std::vector<std::uint32_t> out = sinceLast(status.Counts);
   begin(status);
-  IsSampling = every - window < Limits.Shortest;
+  IsSampling = every - window < Limits.MinInterval;
   NextAt = now + (IsSampling ? every : every - window);
   return out;
 }
@@ -51,8 +51,8 @@
   std::vector<std::uint32_t> out;
   out.reserve(counts.size());
   for (std::size_t i = 0; i < counts.size(); ++i)
-    out.push_back(
-        static_cast<std::uint32_t>(counts[i] - std::min(counts[i], Last[i])));
+    out.push_back(static_cast<std::uint32_t>(
+        counts[i] - std::min(counts[i], LastCounts[i])));
   return out;
 }
 
@@ -64,11 +64,12 @@
 
 Duration DemandSampler::interval(unsigned ranks, std::size_t counts) const {
   if (Limits.BytesPerSecond <= 0)
-    return Limits.Shortest;
+    return Limits.MinInterval;
   double bytes = double(ranks) * double(counts);
-  Duration usual = spread(bytes, Limits.BytesPerSecond);
-  if (usual > Limits.LongestWanted && Limits.MostBytesPerSecond > 0)
-    usual = std::max(Limits.LongestWanted,
-                     spread(bytes, Limits.MostBytesPerSecond));
-  return std::max(Limits.Shortest, usual);
+  Duration normalInterval = spread(bytes, Limits.BytesPerSecond);
+  if (normalInterval > Limits.MaxDesiredInterval &&
+      Limits.MostBytesPerSecond > 0)
+    normalInterval = std::max(Limits.MaxDesiredInterval,
+                              spread(bytes, Limits.MostBytesPerSecond));
+  return std::max(Limits.MinInterval, normalInterval);
 }
--- a/lib/Experts/GroupCoordinator.cpp
+++ b/lib/Experts/GroupCoordinator.cpp
@@ -51,7 +51,7 @@
 
 void GroupCoordinator::enter(CoordinatorPhase phase, TimePoint now) {
   Phase = phase;
-  Answers.clear();
+  Replies.clear();
   ResendAt = now + Limits.Resend;
   switch (phase) {
   case Phases::Loading:
@@ -61,11 +61,11 @@
     PhaseEnd = now + Limits.ArmTimeout;
     break;
   case Phases::Idle:
-    PhaseEnd = now + Limits.SurveyEvery;
+    PhaseEnd = now + Limits.SurveyInterval;
     ResendAt = PhaseEnd;
     break;
   default:
-    PhaseEnd = now + Limits.PhasePatience;
+    PhaseEnd = now + Limits.PhaseTimeout;
     break;
   }
   if (phase != Phases::Idle && phase != Phases::Following)
@@ -89,31 +89,32 @@
     // If the reply to a write is lost, reading the record shows whether the
     // write succeeded.
     ResendAt = now + Limits.Lease.CallTimeout;
-    callPlatform(KvPut{recordKey(Group), formatRecord(Writing), RecordAt, {}});
+    callPlatform(KvPut{
+        recordKey(Group), formatRecord(PendingRecord), RecordRevision, {}});
     return;
   case Phases::Surveying:
   case Phases::Committing:
     if (Phase == Phases::Committing)
-      sendToSilent(GroupOrderKind::Commit);
-    sendToSilent(GroupOrderKind::Report);
+      sendToPending(GroupOrderKind::Commit);
+    sendToPending(GroupOrderKind::Report);
     return;
   case Phases::Joining:
-    sendToSilent(GroupOrderKind::Join);
+    sendToPending(GroupOrderKind::Join);
     return;
   case Phases::Settling:
-    sendToSilent(GroupOrderKind::Ask);
-    sendToSilent(GroupOrderKind::Report);
+    sendToPending(GroupOrderKind::Ask);
+    sendToPending(GroupOrderKind::Report);
     return;
   case Phases::Loading:
-    sendToSilent(GroupOrderKind::Load);
+    sendToPending(GroupOrderKind::Load);
     return;
   case Phases::Arming:
-    sendToSilent(GroupOrderKind::Arm);
+    sendToPending(GroupOrderKind::Arm);
     return;
   }
 }
 
-void GroupCoordinator::sendToSilent(GroupOrderKind kind) {
+void GroupCoordinator::sendToPending(GroupOrderKind kind) {
   GroupOrder order;
   order.Group = Group;
   order.CoordinatorEpoch = Lease.epoch();
@@ -132,7 +133,7 @@
       order.Map = Record.Proposed->Map;
   }
   for (const EndpointId &it : Record.Members)
-    if (!Answers.contains(it))
+    if (!Replies.contains(it))
       Out.push_back(SendGroupOrder{it, order});
 }
 
@@ -153,14 +154,14 @@
   case Phases::Surveying:
     if (reply.Kind == GroupReplyKind::State ||
         reply.Kind == GroupReplyKind::Armed)
-      Answers[reply.Member] = reply;
-    if (hasAllAnswered())
+      Replies[reply.Member] = reply;
+    if (haveAllReplied())
       onSurveyed(now);
     break;
   case Phases::Joining:
     if (isCurrent && reply.Kind == GroupReplyKind::Joined)
-      Answers[reply.Member] = reply;
-    if (hasAllAnswered())
+      Replies[reply.Member] = reply;
+    if (haveAllReplied())
       enter(Phases::Surveying, now);
     break;
   case Phases::Loading:
@@ -172,8 +173,8 @@
         Wanted.reset();
       enter(Phases::Idle, now);
     } else if (reply.Kind == GroupReplyKind::Loaded)
-      Answers[reply.Member] = reply;
-    if (Phase == Phases::Loading && hasAllAnswered()) {
+      Replies[reply.Member] = reply;
+    if (Phase == Phases::Loading && haveAllReplied()) {
       ArmStep = StepNumber(HighestStep.get() + Limits.StepsAhead);
       enter(Phases::Arming, now);
     }
@@ -185,8 +186,8 @@
     break;
   case Phases::Committing:
     if (isCurrent && reply.Version == Record.Proposed->Version)
-      Answers[reply.Member] = reply;
-    if (hasAllAnswered()) {
+      Replies[reply.Member] = reply;
+    if (haveAllReplied()) {
       GroupRecord next = Record;
       next.Committed = *Record.Proposed;
       next.Proposed.reset();
@@ -204,16 +205,16 @@
 void GroupCoordinator::onVote(const GroupReply &reply, TimePoint now) {
   switch (reply.Kind) {
   case GroupReplyKind::Armed:
-    Answers[reply.Member] = reply;
-    if (hasAllAnswered())
+    Replies[reply.Member] = reply;
+    if (haveAllReplied())
       commit(now);
     return;
   case GroupReplyKind::Committed:
     commit(now);
     return;
   case GroupReplyKind::Refused:
-    Answers.clear();
-    sendToSilent(GroupOrderKind::Abort);
+    Replies.clear();
+    sendToPending(GroupOrderKind::Abort);
     enter(Phases::Idle, now);
     return;
   default:
@@ -228,8 +229,8 @@
   }
   // The attempt precedes the current record: its members finish it, and the
   // next survey shows which map they run.
-  Answers.clear();
-  sendToSilent(GroupOrderKind::Commit);
+  Replies.clear();
+  sendToPending(GroupOrderKind::Commit);
   enter(Phases::Idle, now);
 }
 
@@ -239,7 +240,7 @@
   std::optional<ChangeAttempt> armed;
   bool isProposedRunning = false;
   bool isOtherRunning = false;
-  for (const auto &[member, reply] : Answers) {
+  for (const auto &[member, reply] : Replies) {
     if (reply.GroupGeneration != Record.GroupGeneration) {
       beginGeneration(now);
       return;
@@ -298,7 +299,7 @@
   case Phases::Surveying:
   case Phases::Joining:
     // Silent members may have left the group.
-    PhaseEnd = now + Limits.PhasePatience;
+    PhaseEnd = now + Limits.PhaseTimeout;
     if (Record.Members != Members)
       beginGeneration(now);
     return;
@@ -313,15 +314,15 @@
     enter(Phases::Settling, now);
     return;
   default:
-    PhaseEnd = now + Limits.PhasePatience;
+    PhaseEnd = now + Limits.PhaseTimeout;
     return;
   }
 }
 
 void GroupCoordinator::writeRecord(GroupRecord next, CoordinatorPhase phase,
                                    TimePoint now) {
-  Writing = std::move(next);
-  Writing.Writer = Lease.epoch();
+  PendingRecord = std::move(next);
+  PendingRecord.Writer = Lease.epoch();
   enter(phase, now);
 }
 
@@ -346,7 +347,7 @@
     Record = GroupRecord();
     if (Wanted)
       Record.Committed.Map = *Wanted;
-    RecordAt = Revision(0);
+    RecordRevision = Revision(0);
     beginGeneration(now);
     return;
   }
@@ -356,7 +357,7 @@
   if (!record)
     return;
   Record = std::move(record.value());
-  RecordAt = reply.At;
+  RecordRevision = reply.At;
   enter(Phases::Surveying, now);
 }
 
@@ -367,8 +368,8 @@
     enter(Phases::Reading, now);
     return;
   }
-  Record = Writing;
-  RecordAt = reply.At;
+  Record = PendingRecord;
+  RecordRevision = reply.At;
   switch (Phase) {
   case Phases::Reforming:
     enter(Phases::Joining, now);
@@ -383,11 +384,11 @@
   }
 }
 
-bool GroupCoordinator::hasAllAnswered() const {
-  auto hasAnswered = [this](const EndpointId &it) {
-    return Answers.contains(it);
+bool GroupCoordinator::haveAllReplied() const {
+  auto hasReplied = [this](const EndpointId &it) {
+    return Replies.contains(it);
   };
-  return std::all_of(Record.Members.begin(), Record.Members.end(), hasAnswered);
+  return std::all_of(Record.Members.begin(), Record.Members.end(), hasReplied);
 }
 
 void GroupCoordinator::callPlatform(KvCall call) {
--- a/lib/Experts/LayerPlanner.cpp
+++ b/lib/Experts/LayerPlanner.cpp
@@ -83,9 +83,9 @@
   ExpertIndex old = Slots[slot];
   std::size_t cold = rankOf(slot);
   double newShare = Demand[expert] / (Copies[expert] + 1);
-  double less = perCopy(expert) - newShare;
-  double more = Demand[old] / (Copies[old] - 1) - perCopy(old);
-  double highest = Loads[cold] - perCopy(old) + newShare;
+  double less = loadPerCopy(expert) - newShare;
+  double more = Demand[old] / (Copies[old] - 1) - loadPerCopy(old);
+  double highest = Loads[cold] - loadPerCopy(old) + newShare;
   for (ExpertIndex moved : {expert, old})
     for (std::size_t it : Holders[moved]) {
       std::size_t rank = rankOf(it);
@@ -112,7 +112,7 @@
         ExpertIndex light = Slots[coldSlot];
         if (holds(cold, heavy) || holds(hot, light))
           continue;
-        double shift = perCopy(heavy) - perCopy(light);
+        double shift = loadPerCopy(heavy) - loadPerCopy(light);
         double highest = std::max(Loads[hot] - shift, Loads[cold] + shift);
         consider({hotSlot, light, coldSlot, heavy, 2, 0}, highest, best);
       }
@@ -136,7 +136,7 @@
   return std::find(first, last, expert) != last;
 }
 
-double LayerPlanner::perCopy(ExpertIndex expert) const {
+double LayerPlanner::loadPerCopy(ExpertIndex expert) const {
   return Demand[expert] / Copies[expert];
 }
 
@@ -152,7 +152,7 @@
   ExpertIndex old = Slots[slot];
   for (ExpertIndex it : {old, expert})
     for (std::size_t holder : Holders[it])
-      Loads[rankOf(holder)] -= perCopy(it);
+      Loads[rankOf(holder)] -= loadPerCopy(it);
   std::erase(Holders[old], slot);
   Holders[expert].push_back(slot);
   --Copies[old];
@@ -160,7 +160,7 @@
   Slots[slot] = expert;
   for (ExpertIndex it : {old, expert})
     for (std::size_t holder : Holders[it])
-      Loads[rankOf(holder)] += perCopy(it);
+      Loads[rankOf(holder)] += loadPerCopy(it);
 }
 
 /// Only a few ranks change at a time, so an insertion sort of the previous
--- a/lib/Experts/LeaseHolder.cpp
+++ b/lib/Experts/LeaseHolder.cpp
@@ -30,12 +30,12 @@
   }
   NextCall = now + Limits.RetryEvery;
   if (std::exchange(IsTakingOver, false)) {
-    IsTaking = true;
+    IsAcquiring = true;
     return KvPut{Key, Self, OtherHolder, Limits.Span};
   }
   if (!std::exchange(IsFree, false))
     return KvGet{Key, true};
-  IsTaking = true;
+  IsAcquiring = true;
   return KvPut{Key, Self, Revision(0), Limits.Span};
 }
 
@@ -50,16 +50,16 @@
   if (!IsCalling)
     return;
   IsCalling = false;
-  bool wasTaking = std::exchange(IsTaking, false);
+  bool wasAcquiring = std::exchange(IsAcquiring, false);
   bool isOwn = Doubted.get() > 0 && reply.At == Doubted;
   if (Holder.get() == 0 && reply.Code == ResultCode::Ok && isOwn) {
     hold(Doubted);
     return;
   }
-  if (Holder.get() == 0 && !wasTaking) {
+  if (Holder.get() == 0 && !wasAcquiring) {
     IsFree = reply.Code == ResultCode::NotFound;
     if (IsFree || reply.Code == ResultCode::Ok)
-      noteHolder(reply);
+      recordHolder(reply);
     if (IsFree)
       NextCall = now;
     // An earlier incarnation of this process holds the lease; no other process
@@ -74,8 +74,8 @@
     return;
   }
   // Another process acquired the lease first and is the holder now.
-  if (wasTaking && reply.Code == ResultCode::PlatformConflict)
-    noteHolder(reply);
+  if (wasAcquiring && reply.Code == ResultCode::PlatformConflict)
+    recordHolder(reply);
   bool isGone = reply.Code == ResultCode::NotFound ||
                 reply.Code == ResultCode::PlatformConflict;
   if (Holder.get() == 0 || !isGone)
@@ -105,8 +105,8 @@
   NextCall = now;
 }
 
-void LeaseHolder::noteHolder(const KvReply &reply) {
-  HolderText = reply.Value;
+void LeaseHolder::recordHolder(const KvReply &reply) {
+  HolderName = reply.Value;
   OtherHolder = reply.At;
 }
 
@@ -122,6 +122,6 @@
 void LeaseHolder::lose(TimePoint now) {
   Holder = Revision(0);
   IsCalling = false;
-  IsTaking = false;
+  IsAcquiring = false;
   NextCall = now + Limits.RetryEvery;
 }
--- a/lib/Experts/MapArming.cpp
+++ b/lib/Experts/MapArming.cpp
@@ -38,14 +38,14 @@
 /// would be stalled. A fixed number of steps that covers such retransmissions
 /// would delay all other changes.
 std::uint64_t MapSwitch::stepsAhead() const {
-  Duration ahead = std::min(SlowestAnswer, Limits.LongestAhead);
+  Duration ahead = std::min(SlowestReply, Limits.MaxStepDelay);
   double seconds = std::chrono::duration<double>(ahead).count();
   return Limits.StepsAhead +
          static_cast<std::uint64_t>(seconds * StepsPerSecond);
 }
 
-void MapSwitch::noteAnswer(const Pending &order, TimePoint now) {
-  SlowestAnswer = std::max(SlowestAnswer, now - order.FirstAt);
+void MapSwitch::recordReply(const Pending &order, TimePoint now) {
+  SlowestReply = std::max(SlowestReply, now - order.FirstSentAt);
 }
 
 /// Arms the coordinator's own rank last: a successor then knows that this rank
@@ -99,7 +99,7 @@
 
 /// All ranks have prepared this coordinator's map, so none can be armed for
 /// another map.
-void MapSwitch::takeBack(TimePoint now) { beginDisarming(Version, true, now); }
+void MapSwitch::rollBack(TimePoint now) { beginDisarming(Version, true, now); }
 
 /// A rank that holds nothing refuses the order, which is harmless.
 void MapSwitch::release(bool isChanging, TimePoint now) {
--- a/lib/Experts/MapDelta.cpp
+++ b/lib/Experts/MapDelta.cpp
@@ -46,7 +46,7 @@
 }
 
 /// The map that a group of \p shape is formed with.
-static GroupPlacement deal(const DealtShape &shape) {
+static GroupPlacement makeInitialMap(const DealtShape &shape) {
   RankPlacement none(shape.Sets);
   GroupPlacement out(shape.Ranks, none);
   for (std::uint32_t expert = 0; expert < shape.Experts; ++expert)
@@ -87,11 +87,11 @@
 
 /// Encodes \p map as its differences from the map that its group was formed
 /// with; none if that is not shorter.
-static std::optional<MapDelta> fromDealt(const GroupPlacement &map) {
+static std::optional<MapDelta> encodeFromInitial(const GroupPlacement &map) {
   DealtShape shape = shapeOf(map);
   if (shape.Ranks == 0)
     return std::nullopt;
-  std::optional<MapDelta> out = difference(deal(shape), map);
+  std::optional<MapDelta> out = difference(makeInitialMap(shape), map);
   if (!out || lengthOf(*out) >= lengthOf(map))
     return std::nullopt;
   out->Dealt = shape;
@@ -103,7 +103,7 @@
   MapOrder out = order;
   if (!order.Map)
     return out;
-  Sent now{link, order.Version, order.Map};
+  Sent current{link, order.Version, order.Map};
   auto it = LastSent.find(rank);
   bool isKnown = it != LastSent.end() && it->second.Link == link;
   if (isKnown && tries <= MaxShortTries) {
@@ -111,25 +111,25 @@
     if (out.Delta)
       out.Delta->Base = it->second.Version;
   } else if (tries <= MaxShortTries) {
-    out.Delta = dealtDelta(order);
+    out.Delta = initialDelta(order);
   }
   if (out.Delta)
     out.Map = nullptr;
-  LastSent[rank] = std::move(now);
+  LastSent[rank] = std::move(current);
   return out;
 }
 
 /// The delta is the same for all ranks, so it is computed once per map.
-std::optional<MapDelta> SentMaps::dealtDelta(const MapOrder &order) {
-  if (DealtOf != order.Map) {
-    DealtOf = order.Map;
-    Dealt = fromDealt(*order.Map);
+std::optional<MapDelta> SentMaps::initialDelta(const MapOrder &order) {
+  if (InitialDeltaOf != order.Map) {
+    InitialDeltaOf = order.Map;
+    Dealt = encodeFromInitial(*order.Map);
   }
   return Dealt;
 }
 
 /// Applies \p delta to \p map. Returns false if \p map lacks one of the places.
-static bool change(GroupPlacement &map, const MapDelta &delta) {
+static bool applyDelta(GroupPlacement &map, const MapDelta &delta) {
   auto hasSet = [&map](std::uint32_t rank, std::uint32_t set) {
     return rank < map.size() && set < map[rank].size();
   };
@@ -152,11 +152,12 @@
 
 bool ToldMap::complete(MapOrder &order) {
   if (order.Delta) {
-    bool isDealt = order.Delta->Dealt.has_value();
-    if (!isDealt && (!Map || Version != order.Delta->Base))
+    bool isFromInitial = order.Delta->Dealt.has_value();
+    if (!isFromInitial && (!Map || Version != order.Delta->Base))
       return false;
-    GroupPlacement whole = isDealt ? deal(*order.Delta->Dealt) : *Map;
-    if (!change(whole, *order.Delta))
+    GroupPlacement whole =
+        isFromInitial ? makeInitialMap(*order.Delta->Dealt) : *Map;
+    if (!applyDelta(whole, *order.Delta))
       return false;
     order.Map = std::make_shared<const GroupPlacement>(std::move(whole));
     order.Delta.reset();
--- a/lib/Experts/MapSwitch.cpp
+++ b/lib/Experts/MapSwitch.cpp
@@ -43,7 +43,7 @@
 
 SwitchActions MapSwitch::onStatus(unsigned rank, const RankStatus &status,
                                   TimePoint seen, TimePoint now) {
-  noteStep(status, seen);
+  recordStep(status, seen);
   auto before = Ranks.find(rank);
   if (before != Ranks.end() && before->second.Life != status.Life)
     forgetRank(rank, now);
@@ -69,7 +69,7 @@
 }
 
 /// Measures the group's step rate.
-void MapSwitch::noteStep(const RankStatus &status, TimePoint now) {
+void MapSwitch::recordStep(const RankStatus &status, TimePoint now) {
   if (status.Formation != StepFormation || status.Step < LastStep) {
     StepFormation = status.Formation;
     LastStep = status.Step;
@@ -100,7 +100,7 @@
     return takeActions();
   case MapOrderResult::Done:
     Claimed.insert(rank);
-    noteAnswer(it->second, now);
+    recordReply(it->second, now);
     Orders.erase(it);
     break;
   case MapOrderResult::Refused: {
@@ -132,7 +132,7 @@
     holdNext(now);
     break;
   case SwitchPhase::Arming:
-    takeBack(now);
+    rollBack(now);
     break;
   case SwitchPhase::Freezing:
     // The step has begun: the armed map is in force by now.
@@ -156,7 +156,7 @@
       late.emplace_back(rank, pending);
   for (const auto &[rank, pending] : late) {
     send(rank, pending.Order, pending.Tries + 1, now);
-    Orders.at(rank).FirstAt = pending.FirstAt;
+    Orders.at(rank).FirstSentAt = pending.FirstSentAt;
   }
   advance(now);
   return takeActions();
@@ -196,7 +196,7 @@
   it.IsQueued = false;
   it.SentAt = now;
   if (it.Tries == 0)
-    it.FirstAt = now;
+    it.FirstSentAt = now;
   // Large maps take long on a narrow link; the ranks' preparation time starts
   // when the last map has been sent.
   if (Phase == SwitchPhase::Preparing)
@@ -210,7 +210,7 @@
   Wanted = std::make_shared<const GroupPlacement>(placement);
   Formation = Ranks.begin()->second.Formation;
   BeganAt = now;
-  SlowestAnswer /= 2;
+  SlowestReply /= 2;
   enter(SwitchPhase::Preparing, now);
   orderAll(MapOrderKind::Prepare, now);
   return takeActions();
@@ -326,7 +326,7 @@
   case SwitchPhase::Holding:
   case SwitchPhase::Arming:
     if (age > Limits.PhaseTime)
-      takeBack(now);
+      rollBack(now);
     break;
   case SwitchPhase::Freezing:
     if (Orders.empty())
--- a/lib/Experts/MapTakeover.cpp
+++ b/lib/Experts/MapTakeover.cpp
@@ -44,24 +44,25 @@
     return false;
   if (isComplete(now))
     return true;
-  std::optional<unsigned> missing = missingRank(now);
+  std::optional<unsigned> unreachable = unreachableRank(now);
   MapVersion newest = newestVersion();
-  if (!missing || newest == MapVersion(0) || isNewestArmed())
+  if (!unreachable || newest == MapVersion(0) || isNewestArmed())
     return false;
-  return coordinatorOf(newest, Ranks.begin()->second.Size) == *missing;
+  return coordinatorOf(newest, Ranks.begin()->second.Size) == *unreachable;
 }
 
 /// The unreachable rank, if there is exactly one and all others are reachable.
-std::optional<unsigned> MapSwitch::missingRank(TimePoint now) const {
-  if (Ranks.empty() || now - LeadingSince < Limits.MissingAfter)
+std::optional<unsigned> MapSwitch::unreachableRank(TimePoint now) const {
+  if (Ranks.empty() || now - LeadingSince < Limits.UnreachableAfter)
     return std::nullopt;
   const RankStatus &any = Ranks.begin()->second;
   std::optional<unsigned> out;
   for (unsigned rank = 0; rank < any.Size; ++rank) {
     auto it = Ranks.find(rank);
-    bool isHeard =
+    bool isReachable =
         it != Ranks.end() && now - SeenAt.at(rank) < Limits.StatusAge;
-    if (isHeard && it->second.Formation == any.Formation && it->second.IsOpen)
+    if (isReachable && it->second.Formation == any.Formation &&
+        it->second.IsOpen)
       continue;
     // A rank that reported under this lease may have received orders.
     if (out || it != Ranks.end())
@@ -131,9 +132,9 @@
   if (!canDecide(now))
     return;
   std::optional<ArmedMap> first = Ranks.begin()->second.Armed;
-  bool areAlike =
+  bool areEqual =
       allRanks([&](const RankStatus &it) { return it.Armed == first; });
-  if (areAlike) {
+  if (areEqual) {
     if (first)
       Version = first->Version;
     release(first.has_value(), now);
--- a/lib/Experts/MemberConsent.cpp
+++ b/lib/Experts/MemberConsent.cpp
@@ -11,17 +11,17 @@
 using namespace ospreyspur;
 
 void MemberConsent::onAlive(TimePoint now) {
-  IsVoid = IsVoid || now - AliveAt >= Pause;
-  AliveAt = now;
+  AreReportsStale = AreReportsStale || now - LastActiveAt >= Pause;
+  LastActiveAt = now;
 }
 
 bool MemberConsent::isFollowed(unsigned size, Duration age,
                                TimePoint now) const {
-  if (size == 0 || IsVoid)
+  if (size == 0 || AreReportsStale)
     return false;
   for (unsigned rank = 0; rank < size; ++rank) {
-    auto it = HeardAt.find(rank);
-    if (it == HeardAt.end() || now - it->second >= age)
+    auto it = ReportedAt.find(rank);
+    if (it == ReportedAt.end() || now - it->second >= age)
       return false;
   }
   return true;
--- a/lib/Experts/PlacementPlanner.cpp
+++ b/lib/Experts/PlacementPlanner.cpp
@@ -16,17 +16,18 @@
 
 namespace {
 /// A plan under construction.
-class Draft {
+class PlanBuilder {
 public:
-  Draft(const PlacementLimits &limits, const GroupPlacement &current,
-        const std::vector<double> &demand, const std::vector<double> &paces);
+  PlanBuilder(const PlacementLimits &limits, const GroupPlacement &current,
+              const std::vector<double> &demand,
+              const std::vector<double> &paces);
 
-  PlacementPlan make();
+  PlacementPlan build();
 
 private:
   bool mayTake(std::size_t set, unsigned rank) const;
   void findCopies();
-  void forgetCopiesTo(unsigned rank);
+  void invalidateCopiesTo(unsigned rank);
   double meanSkew() const;
 
   const PlacementLimits &Limits;
@@ -41,9 +42,10 @@
 };
 } // namespace
 
-Draft::Draft(const PlacementLimits &limits, const GroupPlacement &current,
-             const std::vector<double> &demand,
-             const std::vector<double> &paces)
+PlanBuilder::PlanBuilder(const PlacementLimits &limits,
+                         const GroupPlacement &current,
+                         const std::vector<double> &demand,
+                         const std::vector<double> &paces)
     : Limits(limits), RankCount(current.size()) {
   std::size_t sets = current.empty() ? 0 : current.front().size();
   std::size_t experts = sets == 0 ? 0 : demand.size() / sets;
@@ -62,12 +64,12 @@
   NewInSet.assign(sets, std::vector<std::size_t>(RankCount, 0));
 }
 
-bool Draft::mayTake(std::size_t set, unsigned rank) const {
+bool PlanBuilder::mayTake(std::size_t set, unsigned rank) const {
   return NewOnRank[rank] < Limits.NewPerRank &&
          NewInSet[set][rank] < Limits.NewPerSet;
 }
 
-void Draft::findCopies() {
+void PlanBuilder::findCopies() {
   for (std::size_t set = 0; set < Sets.size(); ++set) {
     if (IsKnown[set])
       continue;
@@ -77,20 +79,20 @@
   }
 }
 
-void Draft::forgetCopiesTo(unsigned rank) {
+void PlanBuilder::invalidateCopiesTo(unsigned rank) {
   for (std::size_t set = 0; set < Sets.size(); ++set)
     if (Best[set] && Best[set]->Rank == rank)
       IsKnown[set] = false;
 }
 
-double Draft::meanSkew() const {
+double PlanBuilder::meanSkew() const {
   double sum = 0;
   for (const SetPlacement &it : Sets)
     sum += it.skew();
   return Sets.empty() ? 1 : sum / double(Sets.size());
 }
 
-PlacementPlan Draft::make() {
+PlacementPlan PlanBuilder::build() {
   PlacementPlan plan;
   plan.SkewBefore = meanSkew();
   for (;;) {
@@ -113,7 +115,7 @@
     // A rank at its limit for this change is excluded in all sets. Copies to
     // other ranks stay the best of their sets.
     if (++NewOnRank[rank] >= Limits.NewPerRank)
-      forgetCopiesTo(rank);
+      invalidateCopiesTo(rank);
   }
   plan.SkewAfter = meanSkew();
   plan.Placement.resize(RankCount);
@@ -126,5 +128,5 @@
 PlacementPlan PlacementPlanner::plan(const GroupPlacement &current,
                                      const std::vector<double> &demand,
                                      const std::vector<double> &paces) const {
-  return Draft(Limits, current, demand, paces).make();
+  return PlanBuilder(Limits, current, demand, paces).build();
 }
--- a/lib/Experts/ReachPlanner.cpp
+++ b/lib/Experts/ReachPlanner.cpp
@@ -13,27 +13,28 @@
 
 void ReachPlanner::onHeard(unsigned rank, const TcpAddress &address,
                            TimePoint now) {
-  HeardAt[rank] = now;
+  ReportedAt[rank] = now;
   onFound(rank, address);
 }
 
 void ReachPlanner::onFound(unsigned rank, const TcpAddress &address) {
   Addresses[rank] = address;
-  Others.erase(address);
+  ForeignAddresses.erase(address);
 }
 
 void ReachPlanner::setCandidates(std::vector<TcpAddress> addresses) {
   Candidates = std::move(addresses);
   // An address that has left the list may later belong to another rank.
   std::set<TcpAddress> present(Candidates.begin(), Candidates.end());
-  std::erase_if(Others, [&](const auto &it) { return !present.contains(it); });
+  std::erase_if(ForeignAddresses,
+                [&](const auto &it) { return !present.contains(it); });
   std::erase_if(Addresses,
                 [&](const auto &it) { return !present.contains(it.second); });
 }
 
 bool ReachPlanner::isHeard(unsigned rank, TimePoint now) const {
-  auto it = HeardAt.find(rank);
-  return it != HeardAt.end() && now - it->second < SilenceOfAgent;
+  auto it = ReportedAt.find(rank);
+  return it != ReportedAt.end() && now - it->second < AgentTimeout;
 }
 
 std::vector<unsigned> ReachPlanner::silentRanks(unsigned size,
@@ -45,8 +46,8 @@
   return out;
 }
 
-bool ReachPlanner::mayReach(std::size_t silent, unsigned size,
-                            TimePoint now) const {
+bool ReachPlanner::mayRead(std::size_t silent, unsigned size,
+                           TimePoint now) const {
   bool isNew = now - LedSince < JoinTime;
   return silent > 0 && (isNew || silent * 2 <= size);
 }
@@ -56,17 +57,17 @@
   bool isUnknown =
       std::any_of(silent.begin(), silent.end(),
                   [this](unsigned rank) { return !Addresses.contains(rank); });
-  if (now < NextList || !isUnknown || !mayReach(silent.size(), size, now))
+  if (now < NextList || !isUnknown || !mayRead(silent.size(), size, now))
     return false;
-  NextList = now + ListEvery;
+  NextList = now + ListInterval;
   return true;
 }
 
 std::vector<TcpAddress> ReachPlanner::take(unsigned size, TimePoint now) {
   std::vector<unsigned> silent = silentRanks(size, now);
-  if (now < NextRound || !mayReach(silent.size(), size, now))
+  if (now < NextRound || !mayRead(silent.size(), size, now))
     return {};
-  std::vector<TcpAddress> ways;
+  std::vector<TcpAddress> targets;
   std::set<TcpAddress> known;
   for (const auto &[rank, address] : Addresses)
     known.insert(address);
@@ -74,19 +75,20 @@
   for (unsigned rank : silent) {
     auto it = Addresses.find(rank);
     if (it != Addresses.end())
-      ways.push_back(it->second);
+      targets.push_back(it->second);
     isUnknown = isUnknown || it == Addresses.end();
   }
   for (const TcpAddress &it : Candidates)
-    if (isUnknown && !known.contains(it) && !Others.contains(it))
-      ways.push_back(it);
-  if (ways.empty())
+    if (isUnknown && !known.contains(it) && !ForeignAddresses.contains(it))
+      targets.push_back(it);
+  if (targets.empty())
     return {};
-  NextRound = now + RoundEvery;
-  std::size_t n = std::min(MostInRound, ways.size());
-  std::rotate(ways.begin(), ways.begin() + std::ptrdiff_t(Turn % ways.size()),
-              ways.end());
-  Turn += n;
-  ways.resize(n);
-  return ways;
+  NextRound = now + RoundInterval;
+  std::size_t n = std::min(MaxReadsPerRound, targets.size());
+  std::rotate(targets.begin(),
+              targets.begin() + std::ptrdiff_t(NextTarget % targets.size()),
+              targets.end());
+  NextTarget += n;
+  targets.resize(n);
+  return targets;
 }
--- a/lib/Experts/SetPlacement.cpp
+++ b/lib/Experts/SetPlacement.cpp
@@ -18,7 +18,7 @@
 static constexpr std::size_t HotRanks = 2;
 
 /// A rank with at least this slowdown may drop experts.
-static constexpr double SlowPace = 1.5;
+static constexpr double DropSlowdown = 1.5;
 
 static double eighthPower(double it) {
   double square = it * it;
@@ -46,8 +46,8 @@
   Mean = std::accumulate(Demand.begin(), Demand.end(), 0.0) /
          double(std::max<std::size_t>(Loads.size(), 1));
   for (double it : Loads)
-    Sum += eighthPower(it);
-  Measure = eighthRoot(Sum);
+    EighthPowerSum += eighthPower(it);
+  LoadMeasure = eighthRoot(EighthPowerSum);
 }
 
 /// The part of the demand for \p expert that each of its holders serves.
@@ -69,9 +69,9 @@
 
 void SetPlacement::changeLoad(unsigned rank, double by) const {
   double before = Loads[rank];
-  Undo.push_back({rank, before});
+  SavedLoads.push_back({rank, before});
   Loads[rank] += by * Paces[rank];
-  Sum += eighthPower(Loads[rank]) - eighthPower(before);
+  EighthPowerSum += eighthPower(Loads[rank]) - eighthPower(before);
 }
 
 void SetPlacement::addShares(const std::vector<unsigned> &ranks,
@@ -82,7 +82,7 @@
 
 /// Changes the loads as \p copy would.
 void SetPlacement::tryCopy(const ExpertCopy &copy) const {
-  Undo.clear();
+  SavedLoads.clear();
   if (copy.Evicted) {
     const std::vector<unsigned> &holders = Holders[*copy.Evicted];
     double after = Demand[*copy.Evicted] / double(holders.size() - 1);
@@ -98,17 +98,17 @@
 }
 
 void SetPlacement::undoCopy() const {
-  for (; !Undo.empty(); Undo.pop_back())
-    Loads[Undo.back().Rank] = Undo.back().Load;
+  for (; !SavedLoads.empty(); SavedLoads.pop_back())
+    Loads[SavedLoads.back().Rank] = SavedLoads.back().Load;
 }
 
 void SetPlacement::apply(const ExpertCopy &copy) {
   tryCopy(copy);
   // Sums of differences would accumulate rounding errors over many copies.
-  Sum = 0;
+  EighthPowerSum = 0;
   for (double it : Loads)
-    Sum += eighthPower(it);
-  Measure = eighthRoot(Sum);
+    EighthPowerSum += eighthPower(it);
+  LoadMeasure = eighthRoot(EighthPowerSum);
   std::vector<ExpertNumber> &held = Ranks[copy.Rank];
   if (copy.Evicted)
     std::erase(Holders[*copy.Evicted], copy.Rank);
@@ -124,7 +124,7 @@
     held.push_back(*copy.Expert);
 }
 
-std::vector<unsigned> SetPlacement::hottest() const {
+std::vector<unsigned> SetPlacement::mostLoadedRanks() const {
   std::vector<unsigned> order(Ranks.size());
   std::iota(order.begin(), order.end(), 0U);
   std::size_t n = std::min(HotRanks, order.size());
@@ -139,20 +139,20 @@
 SetPlacement::findCopy(std::size_t places,
                        const std::function<bool(unsigned)> &mayTake) const {
   std::optional<ExpertCopy> best;
-  for (unsigned hot : hottest()) {
-    if (Paces[hot] >= SlowPace)
-      considerGivingUp(hot, best);
+  for (unsigned hot : mostLoadedRanks()) {
+    if (Paces[hot] >= DropSlowdown)
+      considerDropping(hot, best);
     for (ExpertNumber expert : Ranks[hot])
       for (unsigned rank = 0; rank < Ranks.size(); ++rank)
         if (Loads[rank] < Loads[hot] && !holds(rank, expert) && mayTake(rank))
-          considerRank(rank, expert, places, best);
+          considerCopy(rank, expert, places, best);
   }
   return best;
 }
 
 /// Considers dropping experts from a slow rank to lower its load; other ranks
 /// must hold those experts, too.
-void SetPlacement::considerGivingUp(unsigned rank,
+void SetPlacement::considerDropping(unsigned rank,
                                     std::optional<ExpertCopy> &best) const {
   for (ExpertNumber it : Ranks[rank])
     if (Holders[it].size() > 1)
@@ -160,7 +160,7 @@
 }
 
 /// Considers all ways to place \p expert on \p rank.
-void SetPlacement::considerRank(unsigned rank, ExpertNumber expert,
+void SetPlacement::considerCopy(unsigned rank, ExpertNumber expert,
                                 std::size_t places,
                                 std::optional<ExpertCopy> &best) const {
   if (Ranks[rank].size() < places) {
@@ -176,11 +176,11 @@
                             std::optional<ExpertCopy> &best) const {
   if (Mean <= 0)
     return;
-  double sum = Sum;
+  double sum = EighthPowerSum;
   tryCopy(copy);
-  copy.Gain = (Measure - eighthRoot(Sum)) / Mean;
+  copy.Gain = (LoadMeasure - eighthRoot(EighthPowerSum)) / Mean;
   undoCopy();
-  Sum = sum;
+  EighthPowerSum = sum;
   if (copy.Gain > 0 && (!best || copy.Gain > best->Gain))
     best = copy;
 }
--- a/lib/Experts/StatusFilter.cpp
+++ b/lib/Experts/StatusFilter.cpp
@@ -12,7 +12,7 @@
 
 /// The slowdown of a rank fluctuates slightly; a relative change above this
 /// value is reported.
-static constexpr double PaceChange = 0.2;
+static constexpr double MinSlowdownChange = 0.2;
 
 std::optional<RankStatus> StatusFilter::filter(const RankStatus &status,
                                                const std::string &address,
@@ -20,28 +20,30 @@
   if (address != Address)
     reset();
   Address = address;
-  bool isDue = now - ToldAt >= Heartbeat || !status.Picks.empty();
-  if (Told && !isDue && !isNews(status))
+  bool isDue = now - LastReportAt >= Heartbeat || !status.Picks.empty();
+  if (LastReport && !isDue && !hasChanged(status))
     return std::nullopt;
   RankStatus out = status;
   out.Counts.clear();
-  bool hasPlacement = Told && Told->Life == status.Life &&
-                      Told->Formation == status.Formation &&
-                      Told->Map == status.Map;
+  bool hasPlacement = LastReport && LastReport->Life == status.Life &&
+                      LastReport->Formation == status.Formation &&
+                      LastReport->Map == status.Map;
   // Reports with samples include the placement again, in case the earlier
   // report was lost.
   if (hasPlacement && status.Picks.empty())
     out.Placement.clear();
-  Told = status;
-  ToldAt = now;
+  LastReport = status;
+  LastReportAt = now;
   return out;
 }
 
-bool StatusFilter::isNews(const RankStatus &status) const {
-  return Told->Group != status.Group || Told->Life != status.Life ||
-         Told->Formation != status.Formation || Told->Rank != status.Rank ||
-         Told->Size != status.Size || Told->IsOpen != status.IsOpen ||
-         Told->Map != status.Map || Told->Prepared != status.Prepared ||
-         Told->Armed != status.Armed || Told->Held != status.Held ||
-         std::abs(Told->Pace - status.Pace) > PaceChange * Told->Pace;
+bool StatusFilter::hasChanged(const RankStatus &status) const {
+  return LastReport->Group != status.Group || LastReport->Life != status.Life ||
+         LastReport->Formation != status.Formation ||
+         LastReport->Rank != status.Rank || LastReport->Size != status.Size ||
+         LastReport->IsOpen != status.IsOpen || LastReport->Map != status.Map ||
+         LastReport->Prepared != status.Prepared ||
+         LastReport->Armed != status.Armed || LastReport->Held != status.Held ||
+         std::abs(LastReport->Pace - status.Pace) >
+             MinSlowdownChange * LastReport->Pace;
 }
--- a/unittests/Experts/ChangeBudgetTest.cpp
+++ b/unittests/Experts/ChangeBudgetTest.cpp
@@ -25,8 +25,9 @@
 constexpr std::size_t Ranks = 96;
 constexpr std::size_t Experts = 192;
 
-GroupPlacement deal(std::size_t ranks = Ranks, std::size_t sets = Sets,
-                    std::size_t experts = Experts) {
+GroupPlacement makeInitialMap(std::size_t ranks = Ranks,
+                              std::size_t sets = Sets,
+                              std::size_t experts = Experts) {
   GroupPlacement out(ranks, RankPlacement(sets));
   for (std::size_t it = 0; it < experts; ++it)
     for (auto &set : out[it % ranks])
@@ -35,16 +36,16 @@
 }
 
 /// The n-th most popular expert of each set is chosen in proportion to
-/// n^-steepness.
-std::vector<double> likeSome(std::size_t sets = Sets,
-                             std::size_t experts = Experts,
-                             double steepness = 0.53) {
+/// n^-exponent.
+std::vector<double> makeZipfDemand(std::size_t sets = Sets,
+                                   std::size_t experts = Experts,
+                                   double exponent = 0.53) {
   std::mt19937_64 random(1);
   std::vector<double> out;
   for (std::size_t set = 0; set < sets; ++set) {
     std::vector<double> demand;
     for (std::size_t i = 1; i <= experts; ++i)
-      demand.push_back(1000 * std::pow(double(i), -steepness));
+      demand.push_back(1000 * std::pow(double(i), -exponent));
     std::shuffle(demand.begin(), demand.end(), random);
     out.insert(out.end(), demand.begin(), demand.end());
   }
@@ -54,8 +55,8 @@
 
 TEST_CASE("plans of a large group end at a low imbalance") {
   ChangeBudget budget(milliseconds(18));
-  GroupPlacement map = deal();
-  std::vector<double> demand = likeSome();
+  GroupPlacement map = makeInitialMap();
+  std::vector<double> demand = makeZipfDemand();
   double skew = 0;
   for (unsigned change = 0; change < 3; ++change) {
     PlacementLimits limits{3, 2, budget.newPerRank(change == 0),
@@ -79,8 +80,9 @@
   ChangeBudget budget(milliseconds(14));
   PlacementLimits limits{5, 2, budget.newPerRank(true), budget.minGain()};
   PlacementPlanner planner(limits);
-  GroupPlacement map = deal(Shifted, ShiftedSets, ShiftedExperts);
-  std::vector<double> demand = likeSome(ShiftedSets, ShiftedExperts, 0.67);
+  GroupPlacement map = makeInitialMap(Shifted, ShiftedSets, ShiftedExperts);
+  std::vector<double> demand =
+      makeZipfDemand(ShiftedSets, ShiftedExperts, 0.67);
   std::mt19937_64 random(2);
   for (int shift = 0; shift < 5; ++shift) {
     PlacementPlan plan = planner.plan(map, demand);
@@ -104,9 +106,9 @@
     CHECK(less.minGain() <= more.minGain());
     CHECK(less.newPerRank(false) >= more.newPerRank(false));
     CHECK(less.newPerRank(true) >= less.newPerRank(false));
-    bool isShort =
-        less.newPerRank(true) * milliseconds(ms) <=
-        std::max<Duration>(2 * ChangeBudget::Copying, 2 * milliseconds(ms));
+    bool isShort = less.newPerRank(true) * milliseconds(ms) <=
+                   std::max<Duration>(2 * ChangeBudget::CopyTimePerChange,
+                                      2 * milliseconds(ms));
     CHECK(isShort);
   }
 }
--- a/unittests/Experts/DemandMeterTest.cpp
+++ b/unittests/Experts/DemandMeterTest.cpp
@@ -28,43 +28,42 @@
 constexpr TimePoint Start{seconds(100)};
 
 /// The experts that a group's streams choose.
-class LikedExperts {
+class StreamDemand {
 public:
-  explicit LikedExperts(std::uint64_t seed) : Random(seed) {
-    constexpr double Steepness = -0.67;
+  explicit StreamDemand(std::uint64_t seed) : Random(seed) {
+    constexpr double Exponent = -0.67;
     std::vector<double> common;
     for (std::size_t i = 1; i <= Experts; ++i)
-      common.push_back(std::pow(double(i), Steepness));
+      common.push_back(std::pow(double(i), Exponent));
     double all = std::accumulate(common.begin(), common.end(), 0.0);
     for (double &it : common)
       it /= all;
     // Topics share most of their popular experts.
-    for (auto &it : Likes)
+    for (auto &it : TopicDemands)
       it = reordered(common, drawSwaps(Experts / 24));
   }
 
   /// Swaps a part of the popularity ranking, for all topics alike.
   void shift() {
     std::vector<std::size_t> to = drawSwaps(Experts / 2);
-    for (auto &topic : Likes)
+    for (auto &topic : TopicDemands)
       topic = reordered(topic, to);
   }
 
   /// The demand of a group with equal parts of each topic.
   std::vector<double> demand() const {
     std::vector<double> out(Experts, 0.0);
-    for (const auto &topic : Likes)
+    for (const auto &topic : TopicDemands)
       for (std::size_t i = 0; i < Experts; ++i)
         out[i] += topic[i] / double(Topics);
     return out;
   }
 
-  /// Counts of one rank, whose decoding streams (\p writers) have randomly
-  /// drawn topics.
-  std::vector<std::uint32_t> sample(unsigned writers) {
+  /// Counts of one rank, whose decoding \p streams have randomly drawn topics.
+  std::vector<std::uint32_t> sample(unsigned streams) {
     std::vector<double> sum(Experts, 0.0);
-    for (unsigned n = 0; n < writers; ++n) {
-      const auto &topic = Likes[Random() % Topics];
+    for (unsigned n = 0; n < streams; ++n) {
+      const auto &topic = TopicDemands[Random() % Topics];
       for (std::size_t i = 0; i < Experts; ++i)
         sum[i] += 500 * topic[i];
     }
@@ -94,7 +93,7 @@
   }
 
   std::mt19937_64 Random;
-  std::array<std::vector<double>, Topics> Likes;
+  std::array<std::vector<double>, Topics> TopicDemands;
 };
 
 /// The fraction in which \p measured and \p demand differ.
@@ -109,14 +108,14 @@
 
 /// A meter that receives a sample every 10 ms.
 struct MeteredGroup {
-  explicit MeteredGroup(std::uint64_t seed) : Liked(seed) {}
+  explicit MeteredGroup(std::uint64_t seed) : Streams(seed) {}
 
-  void run(Duration length, unsigned writers) {
+  void run(Duration length, unsigned streams) {
     for (TimePoint end = Now + length; Now < end; Now += milliseconds(10))
-      Meter.add(Liked.sample(writers), Now);
+      Meter.add(Streams.sample(streams), Now);
   }
 
-  LikedExperts Liked;
+  StreamDemand Streams;
   DemandMeter Meter{DemandLimits()};
   TimePoint Now = Start;
 };
@@ -129,27 +128,27 @@
     group.run(seconds(3), 6);
     for (int shift = 0; shift < 5; ++shift) {
       std::uint64_t before = group.Meter.changes();
-      group.Liked.shift();
+      group.Streams.shift();
       group.run(milliseconds(150), 6);
       CHECK(group.Meter.changes() > before);
       group.run(milliseconds(200), 6);
       CHECK(group.Meter.isSettled(group.Now));
       // A sum with a half-life of 0.4 s would still contain half of the old
       // demand.
-      CHECK(distance(group.Meter.demand(), group.Liked.demand()) < 0.09);
+      CHECK(distance(group.Meter.demand(), group.Streams.demand()) < 0.09);
       group.run(seconds(3), 6);
-      CHECK(distance(group.Meter.demand(), group.Liked.demand()) < 0.04);
+      CHECK(distance(group.Meter.demand(), group.Streams.demand()) < 0.04);
     }
   }
 }
 
 TEST_CASE("the sum never restarts while the demand is stable") {
   // With few streams, the demand changes whenever one of them ends.
-  for (unsigned writers : {1U, 2U, 6U})
+  for (unsigned streams : {1U, 2U, 6U})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      INFO("seed " << seed << ", " << writers << " streams");
+      INFO("seed " << seed << ", " << streams << " streams");
       MeteredGroup group(seed);
-      group.run(seconds(20), writers);
+      group.run(seconds(20), streams);
       CHECK(group.Meter.changes() == 0);
     }
 }
@@ -157,12 +156,12 @@
 TEST_CASE("a plan after a demand shift waits for further samples") {
   MeteredGroup group(1);
   group.run(seconds(3), 6);
-  group.Liked.shift();
+  group.Streams.shift();
   while (group.Meter.changes() == 0)
     group.run(milliseconds(10), 6);
   CHECK_FALSE(group.Meter.isSettled(group.Now - milliseconds(10)));
   // If no more samples arrive, the plan is not delayed indefinitely.
-  CHECK(group.Meter.isSettled(group.Now + DemandLimits().LongestSettling));
+  CHECK(group.Meter.isSettled(group.Now + DemandLimits().MaxSettlingTime));
 }
 
 TEST_CASE("old demand fades") {
--- a/unittests/Experts/ExpertPlannerTest.cpp
+++ b/unittests/Experts/ExpertPlannerTest.cpp
@@ -21,10 +21,10 @@
 static constexpr unsigned Rounds = 12;
 
 namespace {
-enum class Drift { Steady, SlowTurn, SuddenTopic, Flapping, OneThird };
+enum class Drift { Steady, Gradual, Abrupt, Flapping, HotExpert };
 
 /// Totals of one planner's run over a drifting demand.
-struct Tally {
+struct RunTotals {
   double Skew = 0;
   std::size_t Moves = 0;
 };
@@ -58,16 +58,16 @@
     case Drift::Steady:
       demand.push_back(first);
       break;
-    case Drift::SlowTurn:
+    case Drift::Gradual:
       demand.push_back(blend(first, second, double(round) / Rounds));
       break;
-    case Drift::SuddenTopic:
+    case Drift::Abrupt:
       demand.push_back(round < Rounds / 2 ? first : second);
       break;
     case Drift::Flapping:
       demand.push_back(round % 2 == 0 ? first : second);
       break;
-    case Drift::OneThird: {
+    case Drift::HotExpert: {
       double sum = std::accumulate(first.begin(), first.end(), 0.0);
       first[round % Shape.Experts] += sum / 2;
       demand.push_back(first);
@@ -79,24 +79,24 @@
 }
 
 template <typename Plan>
-static Tally follow(Drift drift, std::uint64_t seed, Plan plan) {
+static RunTotals runDrift(Drift drift, std::uint64_t seed, Plan plan) {
   ExpertMap map = makeDealtMap(Shape);
-  Tally tally;
+  RunTotals totals;
   for (unsigned round = 0; round < Rounds; ++round) {
     ExpertDemand demand = drawDemand(drift, round, seed);
     ExpertMap next = plan(map, demand);
     REQUIRE(findMapFault(next) == "");
-    tally.Moves += countMoves(map, next);
-    tally.Skew += measureSkew(next, demand) / Rounds;
+    totals.Moves += countMoves(map, next);
+    totals.Skew += measureSkew(next, demand) / Rounds;
     map = next;
   }
-  return tally;
+  return totals;
 }
 
-static Tally followPlanner(Drift drift, std::uint64_t seed,
-                           PlannerWeights weights) {
+static RunTotals runPlanner(Drift drift, std::uint64_t seed,
+                            PlannerWeights weights) {
   ExpertPlanner planner(weights);
-  return follow(drift, seed, [&](const ExpertMap &map, const auto &demand) {
+  return runDrift(drift, seed, [&](const ExpertMap &map, const auto &demand) {
     MapPlan plan = planner.plan(map, demand);
     CHECK(plan.Moves == countMoves(map, plan.Map));
     CHECK(plan.SkewAfter <= plan.SkewBefore);
@@ -108,26 +108,26 @@
   // Two deployments: one weighs the imbalance more, the other the moves.
   PlannerWeights skewFirst{1.0, 0.0005, 4000, 0.005};
   PlannerWeights movesFirst{1.0, 0.02, 4000, 0.05};
-  for (Drift drift : {Drift::Steady, Drift::SlowTurn, Drift::SuddenTopic,
-                      Drift::Flapping, Drift::OneThird})
+  for (Drift drift : {Drift::Steady, Drift::Gradual, Drift::Abrupt,
+                      Drift::Flapping, Drift::HotExpert})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       INFO("drift ", static_cast<int>(drift), " seed ", seed);
-      Tally naive = follow(drift, seed, planNaively);
-      Tally even = followPlanner(drift, seed, skewFirst);
-      Tally thrifty = followPlanner(drift, seed, movesFirst);
-      Tally still = follow(
+      RunTotals naive = runDrift(drift, seed, planNaively);
+      RunTotals balanced = runPlanner(drift, seed, skewFirst);
+      RunTotals fewMoves = runPlanner(drift, seed, movesFirst);
+      RunTotals unchanged = runDrift(
           drift, seed,
           [](const ExpertMap &map, const auto & /*demand*/) { return map; });
       bool isSteady = drift == Drift::Steady;
-      CHECK(even.Skew <= naive.Skew * (isSteady ? 1.05 : 1.12));
-      CHECK(even.Skew < still.Skew);
-      CHECK(even.Moves * 2 < naive.Moves);
-      CHECK(thrifty.Moves <= even.Moves);
+      CHECK(balanced.Skew <= naive.Skew * (isSteady ? 1.05 : 1.12));
+      CHECK(balanced.Skew < unchanged.Skew);
+      CHECK(balanced.Moves * 2 < naive.Moves);
+      CHECK(fewMoves.Moves <= balanced.Moves);
       if (seed == 1)
         MESSAGE("skew/moves in drift ", static_cast<int>(drift), ": naive ",
-                naive.Skew, "/", naive.Moves, ", skew first ", even.Skew, "/",
-                even.Moves, ", moves first ", thrifty.Skew, "/", thrifty.Moves,
-                ", still ", still.Skew);
+                naive.Skew, "/", naive.Moves, ", skew first ", balanced.Skew,
+                "/", balanced.Moves, ", moves first ", fewMoves.Skew, "/",
+                fewMoves.Moves, ", still ", unchanged.Skew);
     }
 }
 
--- a/unittests/Experts/LargeGroupTest.cpp
+++ b/unittests/Experts/LargeGroupTest.cpp
@@ -46,7 +46,7 @@
 }
 
 /// Faults in addition to the narrow link.
-struct Trouble {
+struct Faults {
   /// In percent.
   unsigned LostOrders = 0;
   bool FreezesMembers = false;
@@ -54,10 +54,10 @@
 };
 
 /// A large group and its coordinators on virtual time.
-class LargeWorld {
+class LargeGroupSimulation {
 public:
-  LargeWorld(unsigned size, std::uint64_t seed, Trouble trouble)
-      : Time(seed, 0), Size(size), What(trouble), Group(size, true),
+  LargeGroupSimulation(unsigned size, std::uint64_t seed, Faults faults)
+      : Time(seed, 0), Size(size), ActiveFaults(faults), Group(size, true),
         FrozenUntil(size) {
     addCoordinator(0);
     at(Duration(0), [this] { step(); });
@@ -68,7 +68,7 @@
 
   void run(Duration length) { Time.runUntil(Time.now() + length); }
   /// Ends all faults.
-  void calm() { What = {}; }
+  void endFaults() { ActiveFaults = {}; }
 
   PlatformGroup &group() { return Group; }
   unsigned changes() const { return Changes; }
@@ -99,9 +99,9 @@
   }
 
   void addCoordinator(unsigned own) {
-    Present = std::make_shared<Coordinator>(own);
-    Present->Switch.lead(++Lease, own, Time.now());
-    All.push_back(Present);
+    Current = std::make_shared<Coordinator>(own);
+    Current->Switch.lead(++Lease, own, Time.now());
+    All.push_back(Current);
   }
 
   bool isFrozen(unsigned rank) const { return Time.now() < FrozenUntil[rank]; }
@@ -127,7 +127,7 @@
   void report(unsigned rank) {
     if (!isFrozen(rank)) {
       RankStatus status = Group.status(rank, Time.now());
-      Owner to = Present;
+      Owner to = Current;
       at(draw(milliseconds(1), milliseconds(8)), [this, rank, status, to] {
         onHost(to->Own, [this, rank, status, to] {
           act(to, to->Switch.onStatus(rank, status, Time.now(), Time.now()));
@@ -144,12 +144,12 @@
         if (it->Switch.canBegin(Time.now()))
           act(it, it->Switch.begin(makeMap(Size, ++Turn), Time.now()));
       });
-    if (What.FreezesMembers && Time.chance(2))
+    if (ActiveFaults.FreezesMembers && Time.chance(2))
       freeze(unsigned(Time.below(Size)));
-    if (What.FreezesCoordinator && Time.below(200) == 0) {
-      freeze(Present->Own);
+    if (ActiveFaults.FreezesCoordinator && Time.below(200) == 0) {
+      freeze(Current->Own);
       at(milliseconds(600), [this] {
-        addCoordinator((Present->Own + 1) % Size);
+        addCoordinator((Current->Own + 1) % Size);
         if (All.size() > 3)
           All.erase(All.begin());
       });
@@ -185,11 +185,11 @@
       from->Lane.onSent(sizeOf(order), now);
       transmit(from, next->Rank, next->Order, sizeOf(order));
     }
-    std::optional<TimePoint> room = from->Lane.nextTimer();
-    if (!room || (from->WakeAt && *from->WakeAt <= *room))
+    std::optional<TimePoint> due = from->Lane.nextTimer();
+    if (!due || (from->WakeAt && *from->WakeAt <= *due))
       return;
-    from->WakeAt = room;
-    Time.at(*room, [this, from] {
+    from->WakeAt = due;
+    Time.at(*due, [this, from] {
       from->WakeAt.reset();
       onHost(from->Own, [this, from] { sendMaps(from); });
     });
@@ -207,7 +207,7 @@
         std::chrono::duration_cast<Duration>(
             std::chrono::duration<double>(double(bytes) / LinkBytesPerSecond));
     LongestQueue = std::max(LongestQueue, from->LinkFreeAt - now);
-    if (Time.chance(What.LostOrders))
+    if (Time.chance(ActiveFaults.LostOrders))
       return;
     Time.at(from->LinkFreeAt + draw(milliseconds(1), milliseconds(5)),
             [this, from, rank, order] {
@@ -227,12 +227,12 @@
 
   test::RandomScheduler Time;
   unsigned Size;
-  Trouble What;
+  Faults ActiveFaults;
   PlatformGroup Group;
   std::vector<TimePoint> FrozenUntil;
   std::uint64_t Lease = 0;
   std::vector<Owner> All;
-  Owner Present;
+  Owner Current;
   unsigned Turn = 0;
   unsigned Changes = 0;
   TimePoint Began = Time.now();
@@ -246,42 +246,42 @@
 TEST_CASE("a large group changes its map repeatedly on a narrow link") {
   for (unsigned size : {32U, 96U, 256U}) {
     INFO("ranks " << size);
-    LargeWorld world(size, 1, {});
-    world.run(seconds(30));
+    LargeGroupSimulation simulation(size, 1, {});
+    simulation.run(seconds(30));
     // With 256 ranks, sending the differences takes 2.4 s of the maps' share of
     // the link.
-    CHECK(world.changes() >= (size < 256 ? 10 : 5));
+    CHECK(simulation.changes() >= (size < 256 ? 10 : 5));
     // The first change starts from the map that the group was formed with.
-    CHECK(world.firstChange() < seconds(5));
-    CHECK(world.group().mixedSteps() == 0);
+    CHECK(simulation.firstChange() < seconds(5));
+    CHECK(simulation.group().mixedSteps() == 0);
     // Steps wait for a few orders at most, not for maps.
-    CHECK(world.group().heldSteps() <= world.changes() * 2);
+    CHECK(simulation.group().heldSteps() <= simulation.changes() * 2);
     // Five orders per change and rank, one more at the coordinator's start, and
     // those of the change under way.
-    std::uint64_t wanted = std::uint64_t(size) * 5 * (world.changes() + 2);
-    CHECK(world.orders() <= wanted);
-    CHECK(world.longestQueue() < milliseconds(200));
+    std::uint64_t wanted = std::uint64_t(size) * 5 * (simulation.changes() + 2);
+    CHECK(simulation.orders() <= wanted);
+    CHECK(simulation.longestQueue() < milliseconds(200));
   }
 }
 
 TEST_CASE("no step of a large group uses two maps while hosts freeze") {
-  Trouble trouble;
-  trouble.LostOrders = 2;
-  trouble.FreezesMembers = true;
-  trouble.FreezesCoordinator = true;
+  Faults faults;
+  faults.LostOrders = 2;
+  faults.FreezesMembers = true;
+  faults.FreezesCoordinator = true;
   for (unsigned size : {32U, 96U}) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       INFO("ranks " << size << ", seed " << seed);
-      LargeWorld world(size, seed, trouble);
-      world.run(seconds(40));
-      CHECK(world.group().mixedSteps() == 0);
+      LargeGroupSimulation simulation(size, seed, faults);
+      simulation.run(seconds(40));
+      CHECK(simulation.group().mixedSteps() == 0);
       // Once all faults have ended, maps come into force again.
-      world.calm();
-      world.run(seconds(5));
-      unsigned before = world.changes();
-      world.run(seconds(15));
-      CHECK(world.changes() > before);
-      CHECK(world.group().mixedSteps() == 0);
+      simulation.endFaults();
+      simulation.run(seconds(5));
+      unsigned before = simulation.changes();
+      simulation.run(seconds(15));
+      CHECK(simulation.changes() > before);
+      CHECK(simulation.group().mixedSteps() == 0);
     }
   }
 }
--- a/unittests/Experts/LeaseHolderTest.cpp
+++ b/unittests/Experts/LeaseHolderTest.cpp
@@ -19,7 +19,7 @@
 static constexpr TimePoint Start{std::chrono::hours(1)};
 
 /// Reads the key as free and acquires it; the holder then has revision 7.
-static void take(LeaseHolder &holder, TimePoint now) {
+static void acquire(LeaseHolder &holder, TimePoint now) {
   REQUIRE(std::holds_alternative<KvGet>(*holder.nextCall(now)));
   holder.onReply({ResultCode::NotFound, {}, {}}, now);
   REQUIRE(std::holds_alternative<KvPut>(*holder.nextCall(now)));
@@ -57,7 +57,7 @@
 TEST_CASE("a holder that was paused past the end of its lease does not act") {
   LeaseLimits limits;
   LeaseHolder holder("k", "a", limits);
-  take(holder, Start);
+  acquire(holder, Start);
   CHECK(holder.isHeld(Start));
   CHECK(holder.epoch() == Epoch(7));
   CHECK(holder.isHeld(Start + limits.Span - limits.Margin - Duration(1)));
@@ -67,7 +67,7 @@
 TEST_CASE("a renewal counts from its sending, not from its reply") {
   LeaseLimits limits;
   LeaseHolder holder("k", "a", limits);
-  take(holder, Start);
+  acquire(holder, Start);
   TimePoint sent = Start + limits.RenewEvery;
   REQUIRE(std::holds_alternative<KvRenew>(*holder.nextCall(sent)));
   holder.onReply({ResultCode::Ok, Revision(7), {}}, sent + seconds(1));
@@ -78,7 +78,7 @@
 TEST_CASE(
     "after losing its lease, a holder tries to acquire it again at once") {
   LeaseHolder holder("k", "a", LeaseLimits());
-  take(holder, Start);
+  acquire(holder, Start);
   TimePoint late = Start + seconds(60);
   REQUIRE(std::holds_alternative<KvRenew>(
       *holder.nextCall(Start + LeaseLimits().RenewEvery)));
@@ -99,7 +99,7 @@
   LeaseLimits limits;
   limits.OutlastsOutage = true;
   LeaseHolder holder("k", "a", limits);
-  take(holder, Start);
+  acquire(holder, Start);
   TimePoint end = Start + limits.Span - limits.Margin;
   CHECK(holder.isConfirmed(end - Duration(1)));
   CHECK_FALSE(holder.isConfirmed(end));
@@ -159,7 +159,7 @@
     LeaseLimits limits;
     limits.OutlastsOutage = outlasts;
     LeaseHolder holder("k", "a", limits);
-    take(holder, Start);
+    acquire(holder, Start);
     TimePoint late = Start + seconds(30);
     CHECK(holder.isHeld(late) == outlasts);
     std::optional<KvCall> call = holder.nextCall(late);
@@ -209,7 +209,7 @@
   status.Running = 3;
   status.Step = StepNumber(5);
   CHECK_FALSE(watch.isStalled(status, Start));
-  CHECK(watch.isStalled(status, Start + StallWatch::Patience));
+  CHECK(watch.isStalled(status, Start + StallWatch::StallTimeout));
   status.Step = StepNumber(6);
   CHECK_FALSE(watch.isStalled(status, Start + seconds(2)));
   status.Running = 0;
@@ -220,7 +220,7 @@
     "a holder that doubts its lease acts on only if its write is in place") {
   for (std::uint64_t found : {7U, 8U}) {
     LeaseHolder holder("k", "a", LeaseLimits());
-    take(holder, Start);
+    acquire(holder, Start);
     holder.doubt(Start + seconds(1));
     CHECK_FALSE(holder.isHeld(Start + seconds(1)));
     REQUIRE(holder.nextCall(Start + seconds(1)));
@@ -234,7 +234,7 @@
   RankStatus status;
   status.Running = 1;
   status.IsOpen = true;
-  Duration step = StallWatch::Patience + std::chrono::milliseconds(150);
+  Duration step = StallWatch::StallTimeout + std::chrono::milliseconds(150);
   TimePoint now = Start;
   unsigned stalls = 0;
   for (unsigned i = 0; i < 100; ++i, now += std::chrono::milliseconds(60)) {
@@ -244,7 +244,7 @@
   // Only the first slow step may be taken for a stall, in three checks.
   CHECK(stalls <= 3);
   // A group that stops completely is still detected.
-  CHECK(watch.isStalled(status, now + StallWatch::LongestPatience));
+  CHECK(watch.isStalled(status, now + StallWatch::MaxStallTimeout));
 }
 
 TEST_CASE(
--- a/unittests/Experts/MapDeltaTest.cpp
+++ b/unittests/Experts/MapDeltaTest.cpp
@@ -23,7 +23,7 @@
 static constexpr unsigned Experts = 128;
 static constexpr LinkId Link = LinkId(1);
 
-static GroupPlacement dealt() {
+static GroupPlacement makeMap() {
   GroupPlacement out(Ranks, RankPlacement(Sets));
   for (auto &rank : out)
     for (auto &set : rank)
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE("a change of one expert per rank takes few bytes") {
-  GroupPlacement map = dealt();
+  GroupPlacement map = makeMap();
   SentMaps sent;
   std::size_t first = bytesOf(sent.shorten(3, Link, prepare(1, map), 0));
   CHECK(first > std::size_t(Ranks) * Sets * 5);
@@ -61,7 +61,7 @@
 }
 
 TEST_CASE(
-    "the first map of a group is sent as differences from the dealt map") {
+    "a group's first change is sent as differences from the initial map") {
   constexpr unsigned Size = 96;
   constexpr unsigned AllExperts = 192;
   GroupPlacement map(Size, RankPlacement(Sets));
@@ -84,17 +84,17 @@
   encode(order, bytes);
   std::optional<Message> read = decode(bytes);
   REQUIRE(read);
-  auto told = std::get<MapOrder>(*read);
-  REQUIRE(ToldMap().complete(told));
-  CHECK(*told.Map == map);
-  // A map that differs too much from the dealt map is sent whole.
+  auto decoded = std::get<MapOrder>(*read);
+  REQUIRE(ToldMap().complete(decoded));
+  CHECK(*decoded.Map == map);
+  // A map that differs too much from the initial map is sent whole.
   for (auto &rank : map)
     for (auto &set : rank)
       std::reverse(set.begin(), set.end());
   CHECK(SentMaps().shorten(3, Link, prepare(10, map), 0).Map);
 }
 
-TEST_CASE("a dealt map of an impossible shape is not decoded") {
+TEST_CASE("an initial map of an impossible shape is not decoded") {
   MapOrder order = prepare(1, {});
   order.Map = nullptr;
   for (DealtShape it :
@@ -141,39 +141,39 @@
 
 TEST_CASE("a map sent as differences is restored exactly, whatever was lost") {
   std::mt19937 random(1);
-  GroupPlacement map = dealt();
+  GroupPlacement map = makeMap();
   SentMaps sent;
-  ToldMap told;
+  ToldMap receiver;
   std::uint64_t link = 1;
   for (std::uint64_t version = 1; version <= 300; ++version) {
     for (unsigned i = 0; i < random() % 40; ++i)
       map[random() % Ranks][random() % Sets][random() % 5] =
           static_cast<ExpertNumber>(random() % Experts);
-    MapOrder meant = prepare(version, map);
-    bool isTaken = false;
-    for (unsigned tries = 0; tries < 8 && !isTaken; ++tries) {
+    MapOrder intended = prepare(version, map);
+    bool isRestored = false;
+    for (unsigned tries = 0; tries < 8 && !isRestored; ++tries) {
       bool isNewLink = random() % 50 == 0;
       link += isNewLink ? 1 : 0;
-      MapOrder order = sent.shorten(3, LinkId(link), meant, tries);
+      MapOrder order = sent.shorten(3, LinkId(link), intended, tries);
       bool isLost = tries < 4 && random() % 4 == 0;
-      if (isLost || !told.complete(order))
+      if (isLost || !receiver.complete(order))
         continue;
-      isTaken = true;
+      isRestored = true;
       REQUIRE(order.Map);
       CHECK_FALSE(order.Delta.has_value());
       CHECK(*order.Map == map);
     }
-    CHECK(isTaken);
+    CHECK(isRestored);
     // The agent may restart between two changes.
     if (random() % 20 == 0) {
-      told = ToldMap();
+      receiver = ToldMap();
       link += random() % 2;
     }
   }
 }
 
 TEST_CASE("a new link or two unanswered copies cause a whole map") {
-  GroupPlacement map = dealt();
+  GroupPlacement map = makeMap();
   SentMaps sent;
   CHECK(sent.shorten(3, Link, prepare(1, map), 0).Map);
   CHECK_FALSE(sent.shorten(3, Link, prepare(2, map), 0).Map);
@@ -186,31 +186,31 @@
 }
 
 TEST_CASE("differences from an unknown map are refused") {
-  ToldMap told;
+  ToldMap receiver;
   MapOrder order;
   order.Kind = MapOrderKind::Prepare;
   order.Version = MapVersion(5);
   order.Delta = MapDelta{MapVersion(4), {}};
-  CHECK_FALSE(told.complete(order));
-  MapOrder whole = prepare(4, dealt());
-  CHECK(told.complete(whole));
+  CHECK_FALSE(receiver.complete(order));
+  MapOrder whole = prepare(4, makeMap());
+  CHECK(receiver.complete(whole));
   MapOrder beyond = order;
   beyond.Delta->Sets.push_back({Ranks, 0, {1}});
-  CHECK_FALSE(told.complete(beyond));
+  CHECK_FALSE(receiver.complete(beyond));
   for (ReplacedExpert it :
        {ReplacedExpert{Ranks, 0, 0, 1}, ReplacedExpert{0, Sets, 0, 1},
         ReplacedExpert{0, 0, 6, 1}}) {
     MapOrder other = order;
     other.Delta.emplace(MapDelta{MapVersion(4), {}, std::nullopt, {it}});
-    CHECK_FALSE(told.complete(other));
+    CHECK_FALSE(receiver.complete(other));
   }
-  CHECK(told.complete(order));
+  CHECK(receiver.complete(order));
   REQUIRE(order.Map);
-  CHECK(*order.Map == dealt());
+  CHECK(*order.Map == makeMap());
   // The agent now knows version 5, so the earlier base is refused.
   MapOrder late;
   late.Kind = MapOrderKind::Prepare;
   late.Version = MapVersion(6);
   late.Delta = MapDelta{MapVersion(4), {}};
-  CHECK_FALSE(told.complete(late));
+  CHECK_FALSE(receiver.complete(late));
 }
--- a/unittests/Experts/MapSwitchTest.cpp
+++ b/unittests/Experts/MapSwitchTest.cpp
@@ -38,12 +38,12 @@
 };
 
 /// A group and its coordinators on virtual time.
-class SwitchWorld {
+class SwitchSimulation {
 public:
   static constexpr unsigned Size = 4;
 
-  SwitchWorld(std::uint64_t seed, Faults faults)
-      : Time(seed, 0), What(faults), Group(Size, faults.ChecksFences) {
+  SwitchSimulation(std::uint64_t seed, Faults faults)
+      : Time(seed, 0), ActiveFaults(faults), Group(Size, faults.ChecksFences) {
     addCoordinator();
     LastStepAt = Time.now();
     at(Duration(0), [this] { step(); });
@@ -56,14 +56,14 @@
   PlatformGroup &group() { return Group; }
   unsigned changes() const { return Changes; }
   /// The longest time without a step.
-  Duration longestStand() const { return LongestStand; }
+  Duration longestStall() const { return LongestStall; }
   /// When the coordinator sends its first order of kind \p kind in the next
   /// change, its host freezes for four seconds. Another coordinator takes over
   /// after half a second.
-  void freezeGiver(MapOrderKind kind) {
+  void freezeSender(MapOrderKind kind) {
     IsNextChange = false;
-    GiverFreezes = true;
-    GiverKind = kind;
+    IsSenderToFreeze = true;
+    FreezeKind = kind;
   }
 
 private:
@@ -122,7 +122,7 @@
     unsigned held = Group.heldSteps();
     Group.step(Time.now());
     if (Group.heldSteps() == held) {
-      LongestStand = std::max(LongestStand, Time.now() - LastStepAt);
+      LongestStall = std::max(LongestStall, Time.now() - LastStepAt);
       LastStepAt = Time.now();
     }
     if (Group.map() > before)
@@ -152,9 +152,9 @@
         if (it->Switch.canBegin(Time.now()) && chance(30))
           send(it, it->Switch.begin(GroupPlacement(Size, {{1}}), Time.now()));
       });
-    if (What.Freezes && chance(1))
+    if (ActiveFaults.Freezes && chance(1))
       freeze();
-    if (What.Forms && Time.below(400) == 0)
+    if (ActiveFaults.Forms && Time.below(400) == 0)
       Group.form();
     at(milliseconds(20), [this] { tick(); });
   }
@@ -176,18 +176,18 @@
 
   void sendOne(const std::shared_ptr<Coordinator> &from, unsigned rank,
                const MapOrder &order, unsigned tries) {
-    if (chance(What.LostOrders))
+    if (chance(ActiveFaults.LostOrders))
       return;
-    bool isLate = chance(What.LateOrders);
+    bool isLate = chance(ActiveFaults.LateOrders);
     Duration after = isLate ? draw(seconds(2), seconds(12))
                             : draw(milliseconds(1), milliseconds(8));
     // Holds and every second copy bypass the rank's agent.
-    bool isOtherWay = tries % 2 == 1 || order.Kind == MapOrderKind::Hold;
-    if (!isOtherWay)
+    bool isBypass = tries % 2 == 1 || order.Kind == MapOrderKind::Hold;
+    if (!isBypass)
       after = std::max(after, waitOnLink(rank));
     IsNextChange = IsNextChange || order.Kind == MapOrderKind::Prepare;
-    if (GiverFreezes && IsNextChange && order.Kind == GiverKind) {
-      GiverFreezes = false;
+    if (IsSenderToFreeze && IsNextChange && order.Kind == FreezeKind) {
+      IsSenderToFreeze = false;
       from->FrozenUntil = Time.now() + seconds(4);
       at(milliseconds(500), [this] { addCoordinator(); });
     }
@@ -198,7 +198,7 @@
   /// How long an order waits on the link to the agent of \p rank.
   Duration waitOnLink(unsigned rank) {
     bool isFree = LinkFreeAt[rank] <= Time.now();
-    if (isFree && chance(What.Retransmitted))
+    if (isFree && chance(ActiveFaults.Retransmitted))
       LinkFreeAt[rank] =
           Time.now() + draw(milliseconds(200), milliseconds(300));
     return LinkFreeAt[rank] - Time.now();
@@ -215,7 +215,7 @@
       return;
     }
     MapOrderReply reply{order.Id, Group.take(rank, order, Time.now())};
-    if (isLate || chance(What.LostReplies))
+    if (isLate || chance(ActiveFaults.LostReplies))
       return;
     at(draw(milliseconds(1), milliseconds(8)), [this, from, rank, reply] {
       deliver(from, [this, from, rank, reply] {
@@ -225,27 +225,27 @@
   }
 
   test::RandomScheduler Time;
-  Faults What;
+  Faults ActiveFaults;
   PlatformGroup Group;
   std::uint64_t Lease = 0;
   std::array<TimePoint, Size> LinkFreeAt{};
   std::vector<std::shared_ptr<Coordinator>> Coordinators;
   unsigned Changes = 0;
-  bool GiverFreezes = false;
-  /// Whether a change has begun since freezeGiver().
+  bool IsSenderToFreeze = false;
+  /// Whether a change has begun since freezeSender().
   bool IsNextChange = false;
-  MapOrderKind GiverKind = MapOrderKind::Arm;
+  MapOrderKind FreezeKind = MapOrderKind::Arm;
   TimePoint LastStepAt;
-  Duration LongestStand{};
+  Duration LongestStall{};
 };
 } // namespace
 
 TEST_CASE("maps change without a held step when nothing goes wrong") {
-  SwitchWorld world(1, {});
-  world.run(seconds(60));
-  CHECK(world.changes() > 30);
-  CHECK(world.group().mixedSteps() == 0);
-  CHECK(world.group().heldSteps() <= world.changes() / 10);
+  SwitchSimulation simulation(1, {});
+  simulation.run(seconds(60));
+  CHECK(simulation.changes() > 30);
+  CHECK(simulation.group().mixedSteps() == 0);
+  CHECK(simulation.group().heldSteps() <= simulation.changes() / 10);
 }
 
 TEST_CASE("a group does not stall for orders that are retransmitted") {
@@ -258,11 +258,11 @@
   unsigned held = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    SwitchWorld world(seed, faults);
-    world.run(seconds(60));
-    CHECK(world.group().mixedSteps() == 0);
-    changes += world.changes();
-    held += world.group().heldSteps();
+    SwitchSimulation simulation(seed, faults);
+    simulation.run(seconds(60));
+    CHECK(simulation.group().mixedSteps() == 0);
+    changes += simulation.changes();
+    held += simulation.group().heldSteps();
   }
   CHECK(changes > 20 * 30);
   // 0.75 held steps per change. With every copy sent through the agent there
@@ -280,10 +280,10 @@
   unsigned changes = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     INFO("seed " << seed);
-    SwitchWorld world(seed, faults);
-    world.run(seconds(60));
-    CHECK(world.group().mixedSteps() == 0);
-    changes += world.changes();
+    SwitchSimulation simulation(seed, faults);
+    simulation.run(seconds(60));
+    CHECK(simulation.group().mixedSteps() == 0);
+    changes += simulation.changes();
   }
   CHECK(changes > 500);
 }
@@ -298,10 +298,10 @@
   unsigned changes = 0;
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
     INFO("seed " << seed);
-    SwitchWorld world(seed, faults);
-    world.run(seconds(60));
-    CHECK(world.group().mixedSteps() == 0);
-    changes += world.changes();
+    SwitchSimulation simulation(seed, faults);
+    simulation.run(seconds(60));
+    CHECK(simulation.group().mixedSteps() == 0);
+    changes += simulation.changes();
   }
   CHECK(changes > 1000);
 }
@@ -314,9 +314,9 @@
   faults.ChecksFences = false;
   unsigned mixed = 0;
   for (std::uint64_t seed = 1; seed <= 150 && mixed == 0; ++seed) {
-    SwitchWorld world(seed, faults);
-    world.run(seconds(60));
-    mixed += world.group().mixedSteps();
+    SwitchSimulation simulation(seed, faults);
+    simulation.run(seconds(60));
+    mixed += simulation.group().mixedSteps();
   }
   CHECK(mixed > 0);
 }
@@ -326,34 +326,35 @@
     INFO("seed " << seed);
     Faults faults;
     faults.Freezes = true;
-    SwitchWorld world(seed, faults);
-    world.run(seconds(120));
+    SwitchSimulation simulation(seed, faults);
+    simulation.run(seconds(120));
     // Frozen coordinators are replaced within two seconds, so the group makes
     // most of its steps; a step takes 60 ms on average.
-    CHECK(world.group().status(0, TimePoint(std::chrono::hours(2))).Step.get() >
-          900);
+    CHECK(simulation.group()
+              .status(0, TimePoint(std::chrono::hours(2)))
+              .Step.get() > 900);
   }
 }
 
 TEST_CASE("a group stalls for at most a second when its coordinator freezes") {
   for (MapOrderKind kind : {MapOrderKind::Hold, MapOrderKind::Arm}) {
-    unsigned longStands = 0;
+    unsigned longStalls = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
       INFO("seed " << seed);
-      SwitchWorld world(seed, {});
-      world.run(seconds(5));
-      world.freezeGiver(kind);
-      world.run(seconds(15));
-      CHECK(world.group().mixedSteps() == 0);
-      longStands += world.longestStand() > seconds(1) ? 1 : 0;
+      SwitchSimulation simulation(seed, {});
+      simulation.run(seconds(5));
+      simulation.freezeSender(kind);
+      simulation.run(seconds(15));
+      CHECK(simulation.group().mixedSteps() == 0);
+      longStalls += simulation.longestStall() > seconds(1) ? 1 : 0;
       // Changes continue once the host is no longer frozen.
-      unsigned before = world.changes();
-      world.run(seconds(10));
-      CHECK(world.changes() > before);
+      unsigned before = simulation.changes();
+      simulation.run(seconds(10));
+      CHECK(simulation.changes() > before);
     }
     // In later phases, while every rank but the coordinator's own is armed,
     // nobody could know whether that rank is armed.
-    CHECK(longStands == 0);
+    CHECK(longStalls == 0);
   }
 }
 
@@ -372,11 +373,11 @@
   }
 
   /// Passes \p actions to the ranks and their replies to the coordinator.
-  void give(const SwitchActions &actions) {
+  void execute(const SwitchActions &actions) {
     for (const SendMapOrder &it : actions) {
       LastFence = std::max(LastFence, it.Order.Fence);
       MapOrderReply reply{it.Order.Id, Group.take(it.Rank, it.Order, Now)};
-      give(Switch.onReply(it.Rank, reply, Now));
+      execute(Switch.onReply(it.Rank, reply, Now));
     }
   }
 
@@ -389,54 +390,55 @@
   void report() {
     Now += milliseconds(60);
     for (unsigned rank = 0; rank < 2; ++rank)
-      give(Switch.onStatus(rank, Group.status(rank, Now), Now, Now));
+      execute(Switch.onStatus(rank, Group.status(rank, Now), Now, Now));
   }
 };
 } // namespace
 
 TEST_CASE("a coordinator that doubted its lease can lead again under it") {
-  TwoRankSwitch world;
-  world.lead(1);
-  CHECK(world.Switch.canBegin(world.Now));
-  FencingToken before = world.LastFence;
-  world.Switch.resign();
-  CHECK_FALSE(world.Switch.canBegin(world.Now));
-  world.lead(1);
-  CHECK(world.Switch.isLeading());
-  CHECK(world.Switch.canBegin(world.Now));
+  TwoRankSwitch simulation;
+  simulation.lead(1);
+  CHECK(simulation.Switch.canBegin(simulation.Now));
+  FencingToken before = simulation.LastFence;
+  simulation.Switch.resign();
+  CHECK_FALSE(simulation.Switch.canBegin(simulation.Now));
+  simulation.lead(1);
+  CHECK(simulation.Switch.isLeading());
+  CHECK(simulation.Switch.canBegin(simulation.Now));
   // Its earlier orders are void.
-  CHECK(world.LastFence > before);
+  CHECK(simulation.LastFence > before);
 }
 
 TEST_CASE("the state of a rank from before its restart is not used") {
-  TwoRankSwitch world;
-  world.lead(1);
-  REQUIRE(world.Switch.canBegin(world.Now));
+  TwoRankSwitch simulation;
+  simulation.lead(1);
+  REQUIRE(simulation.Switch.canBegin(simulation.Now));
   // A change is under way when rank 1 restarts under the same formation.
-  world.Switch.begin(GroupPlacement(2, {{1}}), world.Now);
-  REQUIRE(world.Switch.phase() == SwitchPhase::Preparing);
-  RankStatus reborn = world.Group.status(1, world.Now);
-  reborn.Life = RankLife(1701);
-  reborn.Placement.clear();
-  world.Switch.onStatus(1, reborn, world.Now, world.Now);
-  CHECK(world.Switch.phase() != SwitchPhase::Preparing);
-  CHECK_FALSE(world.Switch.canBegin(world.Now));
+  simulation.Switch.begin(GroupPlacement(2, {{1}}), simulation.Now);
+  REQUIRE(simulation.Switch.phase() == SwitchPhase::Preparing);
+  RankStatus restarted = simulation.Group.status(1, simulation.Now);
+  restarted.Life = RankLife(1701);
+  restarted.Placement.clear();
+  simulation.Switch.onStatus(1, restarted, simulation.Now, simulation.Now);
+  CHECK(simulation.Switch.phase() != SwitchPhase::Preparing);
+  CHECK_FALSE(simulation.Switch.canBegin(simulation.Now));
   // The placement from before the restart is not used.
-  CHECK(world.Switch.placement().back().empty());
+  CHECK(simulation.Switch.placement().back().empty());
 }
 
 TEST_CASE(
     "a coordinator that saw a higher token never leads again under its lease") {
-  TwoRankSwitch world;
-  world.lead(1);
+  TwoRankSwitch simulation;
+  simulation.lead(1);
   MapOrder other;
   other.Formation = FormationEpoch(1);
   other.Fence = FencingToken(~0ULL);
-  world.Group.take(1, other, world.Now);
-  world.give(world.Switch.begin(GroupPlacement(2, {{1}}), world.Now));
-  CHECK_FALSE(world.Switch.isLeading());
-  world.lead(1);
-  CHECK_FALSE(world.Switch.isLeading());
+  simulation.Group.take(1, other, simulation.Now);
+  simulation.execute(
+      simulation.Switch.begin(GroupPlacement(2, {{1}}), simulation.Now));
+  CHECK_FALSE(simulation.Switch.isLeading());
+  simulation.lead(1);
+  CHECK_FALSE(simulation.Switch.isLeading());
 }
 
 TEST_CASE("the rank that is armed last is disarmed first") {
@@ -450,7 +452,7 @@
   // ranks were disarmed since then.
   bool isRefused = false;
   std::vector<unsigned> disarmed;
-  std::function<void(const SwitchActions &)> give =
+  std::function<void(const SwitchActions &)> execute =
       [&](const SwitchActions &actions) {
         for (const SendMapOrder &it : actions) {
           bool isOwnArm = it.Order.Kind == MapOrderKind::Arm && it.Rank == Own;
@@ -465,29 +467,31 @@
                                            : group.take(it.Rank, it.Order, now);
           if (disarmed == std::vector<unsigned>{Own})
             CHECK(group.status(0, now).Armed.has_value());
-          give(coordinator.onReply(it.Rank, {it.Order.Id, result}, now));
+          execute(coordinator.onReply(it.Rank, {it.Order.Id, result}, now));
         }
       };
   for (unsigned i = 0; i < 40 && disarmed.size() < Size; ++i) {
     now += milliseconds(60);
     for (unsigned rank = 0; rank < Size; ++rank)
-      give(coordinator.onStatus(rank, group.status(rank, now), now, now));
+      execute(coordinator.onStatus(rank, group.status(rank, now), now, now));
     if (coordinator.canBegin(now) && !isRefused)
-      give(coordinator.begin(GroupPlacement(Size, {{1}}), now));
+      execute(coordinator.begin(GroupPlacement(Size, {{1}}), now));
   }
   REQUIRE(disarmed.size() == Size);
   CHECK(disarmed.front() == Own);
 }
 
 TEST_CASE("coordinators of two leases never assign one version to two maps") {
-  TwoRankSwitch world;
-  world.lead(1);
-  world.give(world.Switch.begin(GroupPlacement(2, {{1}}), world.Now));
-  MapVersion first = world.Switch.version();
-  world.lead(2);
-  REQUIRE(world.Switch.canBegin(world.Now));
-  world.give(world.Switch.begin(GroupPlacement(2, {{0}}), world.Now));
-  CHECK(world.Switch.version() > first);
+  TwoRankSwitch simulation;
+  simulation.lead(1);
+  simulation.execute(
+      simulation.Switch.begin(GroupPlacement(2, {{1}}), simulation.Now));
+  MapVersion first = simulation.Switch.version();
+  simulation.lead(2);
+  REQUIRE(simulation.Switch.canBegin(simulation.Now));
+  simulation.execute(
+      simulation.Switch.begin(GroupPlacement(2, {{0}}), simulation.Now));
+  CHECK(simulation.Switch.version() > first);
 }
 TEST_CASE("no change begins while a rank's placement is unknown") {
   PlatformGroup group(2, true);
--- a/unittests/Experts/OneMapTest.cpp
+++ b/unittests/Experts/OneMapTest.cpp
@@ -38,9 +38,9 @@
 };
 
 /// A group of ranks with their agents on virtual time.
-class GroupWorld {
+class GroupSimulation {
 public:
-  GroupWorld(std::uint64_t seed, FaultRates rates, bool checksFences)
+  GroupSimulation(std::uint64_t seed, FaultRates rates, bool checksFences)
       : Scheduler(seed, rates.Late), Rates(rates), ChecksFences(checksFences) {
     for (std::size_t i = 0; i < RankCount; ++i)
       Ids.push_back(EndpointId("r" + std::to_string(i)));
@@ -52,7 +52,7 @@
   }
 
   RandomScheduler Scheduler;
-  std::string Fault;
+  std::string MapMismatch;
   std::uint64_t StepsDone = 0;
   std::uint64_t Switches = 0;
 
@@ -67,7 +67,7 @@
     return std::all_of(std::begin(Agents), std::end(Agents), runs);
   }
 
-  void breakSomething() {
+  void injectFault() {
     std::size_t i = Scheduler.below(RankCount);
     switch (Scheduler.below(7)) {
     case 0:
@@ -110,7 +110,7 @@
     return os.str();
   }
 
-  void heal() {
+  void endFaults() {
     Rates = {0, 0, 0};
     Scheduler.setLatePercent(0);
     OutageUntil = TimePoint();
@@ -123,7 +123,7 @@
     std::unique_ptr<RankModel> Rank;
     std::unique_ptr<GroupMember> Member;
     std::unique_ptr<GroupCoordinator> Coordinator;
-    std::uint64_t Life = 0;
+    std::uint64_t Incarnation = 0;
     TimePoint FrozenUntil;
     /// The last step that began, and the map that it uses.
     std::pair<Generation, StepNumber> StartedStep;
@@ -132,11 +132,11 @@
 
   void startAgent(std::size_t i) {
     Agent &agent = Agents[i];
-    agent.Life = ++LastLife;
+    agent.Incarnation = ++LastIncarnation;
     agent.FrozenUntil = TimePoint();
     CoordinatorLimits limits;
     limits.StepsAhead = 100;
-    limits.SurveyEvery = seconds(5);
+    limits.SurveyInterval = seconds(5);
     agent.Member =
         std::make_unique<GroupMember>(GroupId("g"), Ids[i], MemberLimits());
     agent.Coordinator =
@@ -150,17 +150,17 @@
 
   /// Passes an input to agent \p i unless the agent was replaced; delayed while
   /// the agent is frozen.
-  void input(std::size_t i, std::uint64_t life,
-             const std::function<GroupActions(Agent &)> &give) {
+  void input(std::size_t i, std::uint64_t incarnation,
+             const std::function<GroupActions(Agent &)> &handler) {
     Agent &agent = Agents[i];
-    if (agent.Life != life)
+    if (agent.Incarnation != incarnation)
       return;
     if (Scheduler.now() < agent.FrozenUntil)
       Scheduler.at(agent.FrozenUntil, [=, this] {
-        Scheduler.soon([=, this] { input(i, life, give); });
+        Scheduler.soon([=, this] { input(i, incarnation, handler); });
       });
     else
-      apply(i, give(agent));
+      apply(i, handler(agent));
   }
 
   void apply(std::size_t i, const GroupActions &actions) {
@@ -173,15 +173,15 @@
     TimePoint due = Agents[i].Coordinator->nextTimer();
     if (auto member = Agents[i].Member->nextTimer())
       due = std::min(due, *member);
-    std::uint64_t life = Agents[i].Life;
+    std::uint64_t incarnation = Agents[i].Incarnation;
     if (Agents[i].Coordinator->nextTimer() <= Scheduler.now())
       due = Scheduler.now() + milliseconds(1);
-    auto &armed = TimersArmed[{i, life}];
+    auto &armed = TimersArmed[{i, incarnation}];
     if (armed > Scheduler.now() && armed <= due)
       return;
     armed = due;
-    Scheduler.at(due, [this, i, life] {
-      input(i, life, [this](Agent &agent) {
+    Scheduler.at(due, [this, i, incarnation] {
+      input(i, incarnation, [this](Agent &agent) {
         GroupActions out = agent.Member->onTimer(Scheduler.now());
         for (GroupAction &it : agent.Coordinator->onTimer(Scheduler.now()))
           out.push_back(std::move(it));
@@ -197,7 +197,7 @@
   void perform(std::size_t /*i*/, const SendGroupOrder &action) {
     std::size_t k = indexOf(action.To);
     Scheduler.unreliably(Rates.Message, [=, this] {
-      input(k, Agents[k].Life, [=, this](Agent &agent) {
+      input(k, Agents[k].Incarnation, [=, this](Agent &agent) {
         return agent.Member->onOrder(action.Order, Scheduler.now());
       });
     });
@@ -206,7 +206,7 @@
   void perform(std::size_t /*i*/, const SendGroupReply &action) {
     std::size_t k = indexOf(action.To);
     Scheduler.unreliably(Rates.Message, [=, this] {
-      input(k, Agents[k].Life, [=, this](Agent &agent) {
+      input(k, Agents[k].Incarnation, [=, this](Agent &agent) {
         GroupActions out = agent.Member->onReply(action.Reply, Scheduler.now());
         for (GroupAction &it :
              agent.Coordinator->onReply(action.Reply, Scheduler.now()))
@@ -218,15 +218,15 @@
 
   /// The order and its reply may each be lost.
   void perform(std::size_t i, const OrderRank &action) {
-    std::uint64_t life = Agents[i].Life;
+    std::uint64_t incarnation = Agents[i].Incarnation;
     if (Scheduler.chance(Rates.Message))
       return;
     Scheduler.soon([=, this] {
-      RankReply answer = Agents[i].Rank->handle(action.Order);
+      RankReply rankReply = Agents[i].Rank->handle(action.Order);
       if (!Scheduler.chance(Rates.Message))
         Scheduler.soon([=, this] {
-          input(i, life, [=, this](Agent &agent) {
-            return agent.Member->onRankReply(action.Id, answer,
+          input(i, incarnation, [=, this](Agent &agent) {
+            return agent.Member->onRankReply(action.Id, rankReply,
                                              Scheduler.now());
           });
         });
@@ -234,15 +234,15 @@
   }
 
   void perform(std::size_t i, const CallPlatformForGroup &action) {
-    std::uint64_t life = Agents[i].Life;
+    std::uint64_t incarnation = Agents[i].Incarnation;
     KvCallId id = action.Request.Id;
     auto reply = [=, this](const KvReply &it) {
-      input(i, life, [=, this](Agent &agent) {
+      input(i, incarnation, [=, this](Agent &agent) {
         return agent.Coordinator->onKvReply(id, it, Scheduler.now());
       });
     };
-    bool isOut = Scheduler.now() < OutageUntil;
-    if (isOut || Scheduler.chance(Rates.Platform)) {
+    bool isOutage = Scheduler.now() < OutageUntil;
+    if (isOutage || Scheduler.chance(Rates.Platform)) {
       if (Scheduler.chance(50))
         Scheduler.at(Scheduler.now() + Duration(Scheduler.below(3000000)),
                      [=, this] { callKv(action.Request.Call); });
@@ -290,8 +290,8 @@
     for (const Agent &it : Agents)
       if (it.StartedStep == agent.StartedStep &&
           it.StartedMap != agent.StartedMap)
-        Fault = "two maps in step " +
-                std::to_string(agent.StartedStep.second.get());
+        MapMismatch = "two maps in step " +
+                      std::to_string(agent.StartedStep.second.get());
   }
 
   FaultRates Rates;
@@ -300,7 +300,7 @@
   Agent Agents[RankCount];
   std::map<std::pair<std::size_t, std::uint64_t>, TimePoint> TimersArmed;
   FakeKeyValue Kv;
-  std::uint64_t LastLife = 0;
+  std::uint64_t LastIncarnation = 0;
   std::string Wanted;
   TimePoint OutageUntil;
 };
@@ -309,25 +309,26 @@
 /// Changes maps under faults, then ends the faults and waits for the last map.
 static void runFaultySeed(std::uint64_t seed, bool checksFences,
                           std::uint64_t &switches) {
-  GroupWorld world(seed, FaultRates(), checksFences);
-  RandomScheduler &random = world.Scheduler;
+  GroupSimulation simulation(seed, FaultRates(), checksFences);
+  RandomScheduler &random = simulation.Scheduler;
   TimePoint begin = random.now();
-  world.setWanted("map 0");
+  simulation.setWanted("map 0");
   for (unsigned i = 1; i <= 6; ++i)
-    random.at(begin + seconds(3 * i),
-              [&world, i] { world.setWanted("map " + std::to_string(i)); });
+    random.at(begin + seconds(3 * i), [&simulation, i] {
+      simulation.setWanted("map " + std::to_string(i));
+    });
   for (unsigned i = 0; i < 8; ++i)
     random.at(begin + milliseconds(random.below(25000)),
-              [&world] { world.breakSomething(); });
+              [&simulation] { simulation.injectFault(); });
   random.runUntil(begin + seconds(30));
-  REQUIRE(world.Fault == "");
-  world.heal();
-  world.setWanted("last map");
+  REQUIRE(simulation.MapMismatch == "");
+  simulation.endFaults();
+  simulation.setWanted("last map");
   random.runUntil(begin + seconds(90));
-  REQUIRE(world.Fault == "");
-  INFO(world.describe());
-  REQUIRE(world.isInForce("last map"));
-  switches += world.Switches;
+  REQUIRE(simulation.MapMismatch == "");
+  INFO(simulation.describe());
+  REQUIRE(simulation.isInForce("last map"));
+  switches += simulation.Switches;
 }
 
 TEST_CASE("under random faults every step uses one map and changes go on") {
@@ -351,12 +352,12 @@
 }
 
 TEST_CASE("without faults a map comes into force") {
-  GroupWorld world(3, {0, 0, 0}, true);
-  world.setWanted("first");
-  world.Scheduler.runUntil(world.Scheduler.now() + seconds(20));
-  world.setWanted("second");
-  world.Scheduler.runUntil(world.Scheduler.now() + seconds(20));
-  CHECK(world.Fault == "");
-  CHECK(world.isInForce("second"));
-  CHECK(world.Switches == RankCount);
+  GroupSimulation simulation(3, {0, 0, 0}, true);
+  simulation.setWanted("first");
+  simulation.Scheduler.runUntil(simulation.Scheduler.now() + seconds(20));
+  simulation.setWanted("second");
+  simulation.Scheduler.runUntil(simulation.Scheduler.now() + seconds(20));
+  CHECK(simulation.MapMismatch == "");
+  CHECK(simulation.isInForce("second"));
+  CHECK(simulation.Switches == RankCount);
 }
--- a/unittests/Experts/PlacementPlannerTest.cpp
+++ b/unittests/Experts/PlacementPlannerTest.cpp
@@ -20,7 +20,7 @@
 static constexpr std::size_t Experts = 64;
 
 /// Experts assigned in turn, as in the platform's first map.
-static GroupPlacement dealt() {
+static GroupPlacement makeInitialMap() {
   GroupPlacement out(Ranks, RankPlacement(Sets));
   for (std::size_t set = 0; set < Sets; ++set)
     for (std::size_t it = 0; it < Experts; ++it)
@@ -29,7 +29,7 @@
 }
 
 /// A demand in which few experts are popular.
-static std::vector<double> skewed(std::uint64_t seed) {
+static std::vector<double> makeSkewedDemand(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::vector<double> out;
   for (std::size_t i = 0; i < Sets * Experts; ++i)
@@ -50,8 +50,9 @@
   PlacementLimits limits{11, 4, 3, 0.04};
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    GroupPlacement before = dealt();
-    PlacementPlan plan = PlacementPlanner(limits).plan(before, skewed(seed));
+    GroupPlacement before = makeInitialMap();
+    PlacementPlan plan =
+        PlacementPlanner(limits).plan(before, makeSkewedDemand(seed));
     CHECK(plan.SkewAfter < plan.SkewBefore);
     for (std::size_t set = 0; set < Sets; ++set) {
       std::set<ExpertNumber> held;
@@ -75,8 +76,8 @@
 
 TEST_CASE("repeated plans come close to balance and then stop") {
   PlacementPlanner planner({11, 4, 3, 0.04});
-  std::vector<double> demand = skewed(3);
-  GroupPlacement present = dealt();
+  std::vector<double> demand = makeSkewedDemand(3);
+  GroupPlacement present = makeInitialMap();
   PlacementPlan plan;
   for (int i = 0; i < 12; ++i) {
     plan = planner.plan(present, demand);
@@ -89,7 +90,7 @@
 TEST_CASE("no demand causes no copies") {
   PlacementPlanner planner({11, 4, 3, 0.04});
   std::vector<double> none(Sets * Experts, 0.0);
-  CHECK(planner.plan(dealt(), none).Copies == 0);
+  CHECK(planner.plan(makeInitialMap(), none).Copies == 0);
 }
 
 TEST_CASE("a slow rank gets less load than the others") {
@@ -97,8 +98,8 @@
   std::vector<double> paces(Ranks, 1.0);
   constexpr unsigned Slow = 3;
   paces[Slow] = 5;
-  GroupPlacement present = dealt();
-  std::vector<double> demand = skewed(1);
+  GroupPlacement present = makeInitialMap();
+  std::vector<double> demand = makeSkewedDemand(1);
   PlacementPlanner planner(limits);
   PlacementPlan plan = planner.plan(present, demand, paces);
   double before = plan.SkewBefore;
--- a/unittests/Experts/RankReportTest.cpp
+++ b/unittests/Experts/RankReportTest.cpp
@@ -51,14 +51,14 @@
     for (std::size_t counts : {288U, 1536U, 14848U}) {
       Duration every = sampler.interval(ranks, counts);
       double length = std::chrono::duration<double>(every).count();
-      CHECK(every >= limits.Shortest);
+      CHECK(every >= limits.MinInterval);
       CHECK(double(ranks) * double(counts) / length <=
             limits.BytesPerSecond * 1.001);
     }
   CHECK(sampler.isDue(Start));
   sampler.take(makeStatus({1, 2}), Start);
-  CHECK_FALSE(sampler.isDue(Start + limits.Shortest - Duration(1)));
-  CHECK(sampler.isDue(Start + limits.Shortest));
+  CHECK_FALSE(sampler.isDue(Start + limits.MinInterval - Duration(1)));
+  CHECK(sampler.isDue(Start + limits.MinInterval));
 }
 
 TEST_CASE(
@@ -74,7 +74,7 @@
   Duration every = sampler.interval(status.Size, Counts);
   CHECK(every > milliseconds(600));
   std::uint64_t counted = 0;
-  unsigned told = 0;
+  unsigned reported = 0;
   unsigned reads = 0;
   for (int ms = 0; ms < 20000; ms += 10) {
     TimePoint now = Start + milliseconds(ms);
@@ -87,13 +87,13 @@
     std::vector<std::uint32_t> sample = sampler.take(status, now);
     if (sample.empty())
       continue;
-    ++told;
+    ++reported;
     CHECK(milliseconds(sample[0]) <= limits.Window + milliseconds(10));
     CHECK(milliseconds(sample[0]) >= limits.Window - milliseconds(10));
   }
-  CHECK(told >= 20000 / 640 - 2);
-  CHECK(told <= 20000 / 630 + 1);
-  CHECK(reads <= 2 * told + 2);
+  CHECK(reported >= 20000 / 640 - 2);
+  CHECK(reported <= 20000 / 630 + 1);
+  CHECK(reads <= 2 * reported + 2);
 }
 
 TEST_CASE("members that start together send their samples in turn") {
@@ -125,15 +125,15 @@
   std::optional<RankStatus> first = filter.filter(status, "a:1", Start);
   REQUIRE(first);
   CHECK(first->Placement == status.Placement);
-  unsigned told = 0;
+  unsigned reported = 0;
   for (int ms = 60; ms <= 1800; ms += 60) {
     status.Step = StepNumber(status.Step.get() + 1);
     std::optional<RankStatus> it =
         filter.filter(status, "a:1", Start + milliseconds(ms));
-    told += it ? 1 : 0;
+    reported += it ? 1 : 0;
     CHECK((!it || it->Placement.empty()));
   }
-  CHECK(told == 10);
+  CHECK(reported == 10);
 }
 
 TEST_CASE("every change that a coordinator decides by is reported at once") {
@@ -218,12 +218,12 @@
   // The members of a large group learn one after the other that the lease has
   // moved to another coordinator, which is working and replies.
   for (unsigned rank : {2U, 16U, 31U, 255U})
-    for (int learntAfter : {30, 200, 600}) {
+    for (int learnedAfter : {30, 200, 600}) {
       CoordinatorWatch watch;
       unsigned takeovers = 0;
       for (int ms = 0; ms < 2400; ms += 30) {
         TimePoint now = Start + milliseconds(ms);
-        bool isNew = ms >= learntAfter;
+        bool isNew = ms >= learnedAfter;
         StallAdvice advice = watch.onStalled(isNew ? "b:1" : "a:1", rank, now);
         if (!isNew)
           continue;
