--- a/include/ospreyspur/Experts/DemandSampler.h
+++ b/include/ospreyspur/Experts/DemandSampler.h
@@ -39,7 +39,7 @@
   double MostBytesPerSecond = 0;
 };
 
-/// Samples one rank.
+/// Samples the demand of one rank.
 class DemandSampler {
 public:
   explicit DemandSampler(SampleLimits limits) : Limits(limits) {}
--- a/include/ospreyspur/Experts/ExpertMap.h
+++ b/include/ospreyspur/Experts/ExpertMap.h
@@ -63,10 +63,10 @@
 /// requires loading one expert's weights.
 std::size_t countMoves(const ExpertMap &before, const ExpertMap &after);
 
-/// \p map as text.
+/// Encodes \p map as text.
 std::string formatMap(const ExpertMap &map);
 
-/// Reads formatMap()'s text. Errors: BadRequest.
+/// Parses the output of formatMap(). Errors: BadRequest.
 Result<ExpertMap> parseMap(const std::string &text);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Experts/MapOrder.h
+++ b/include/ospreyspur/Experts/MapOrder.h
@@ -99,8 +99,8 @@
   Unanswered,
 };
 
-/// A member's query whether the coordinator is working on the group. A
-/// coordinator that is replies with the same message.
+/// A member's query whether the coordinator is working on the group. If so, the
+/// coordinator replies with the same message.
 struct LeaderCheck {
   GroupId Group;
 };
--- a/include/ospreyspur/Experts/StallWatch.h
+++ b/include/ospreyspur/Experts/StallWatch.h
@@ -15,7 +15,7 @@
 
 namespace ospreyspur {
 
-/// Watches one rank.
+/// Detects a stall of a group by the states of one of its ranks.
 class StallWatch {
 public:
   /// A step of a busy group takes a tenth of a second, a step held by a healthy
--- a/lib/Experts/GroupCoordinator.cpp
+++ b/lib/Experts/GroupCoordinator.cpp
@@ -352,7 +352,7 @@
     return;
   }
   if (reply.Code != ResultCode::Ok)
-    return; // asked again by resend()
+    return; // resend() reads the record again
   Result<GroupRecord> record = parseRecord(reply.Value);
   if (!record)
     return;
