--- a/include/ospreyspur/Experts/RankStatus.h
+++ b/include/ospreyspur/Experts/RankStatus.h
@@ -26,7 +26,7 @@
 /// The experts of one rank, by set of layers.
 using RankPlacement = std::vector<std::vector<ExpertNumber>>;
 
-/// When a rank's engine started, in ms since the Unix epoch; 0 if unknown.
+/// When a rank's engine started, in ms of wall-clock time; 0 if not reported.
 /// Distinguishes the incarnations of the engine.
 using RankLife = StrongType<struct RankLifeTag, std::uint64_t>;
 
