--- a/include/ospreyspur/Experts/StallWatch.h
+++ b/include/ospreyspur/Experts/StallWatch.h
@@ -1,7 +1,7 @@
-//===- StallWatch.h - a group that stands still -----------------*- C++ -*-===//
+//===- StallWatch.h - detects a stalled group -------------------*- C++ -*-===//
 //
-// Notices that a rank has requests and its group begins no step: a coordinator
-// that died or froze may have left a step held.
+// Detects that a rank has requests but its group begins no step: a coordinator
+// that crashed or froze may have left a step held.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,17 +15,19 @@
 
 namespace ospreyspur {
 
-/// Watches one rank.
+/// Detects a stall of a group by the states of one of its ranks.
 class StallWatch {
 public:
-  /// A step of a busy group takes a tenth of a second, a held one of a sound
+  /// A step of a busy group takes a tenth of a second, a step held by a healthy
   /// change little more.
-  static constexpr Duration Patience = std::chrono::milliseconds(450);
-  /// Bound for a group whose steps are slow, as those of a slow rank are.
-  static constexpr Duration LongestPatience = std::chrono::milliseconds(2000);
-
-  /// Takes the rank's state. True once the group has stood for Patience, or for
-  /// twice its last step if that was slower.
+  static constexpr Duration StallTimeout = std::chrono::milliseconds(450);
+  /// Upper bound for a group whose steps are slow, such as one with a slow
+  /// rank.
+  static constexpr Duration MaxStallTimeout = std::chrono::milliseconds(2000);
+
+  /// Handles the rank's state. Returns true once the group has begun no step
+  /// for StallTimeout, or for twice the duration of its last step if that is
+  /// longer.
   bool isStalled(const RankStatus &status, TimePoint now) {
     bool isSame = IsKnown && status.Formation == Formation;
     bool hasMoved = !isSame || status.Step != Step;
@@ -38,10 +40,11 @@
       Step = status.Step;
       Since = now;
     }
-    return now - Since >= std::clamp(2 * LastStep, Patience, LongestPatience);
+    return now - Since >=
+           std::clamp(2 * LastStep, StallTimeout, MaxStallTimeout);
   }
 
-  /// Counts anew from \p now.
+  /// Restarts the measurement at \p now.
   void reset(TimePoint now) { Since = now; }
 
 private:
@@ -49,7 +52,7 @@
   FormationEpoch Formation;
   StepNumber Step;
   TimePoint Since;
-  /// How long the group's last step took.
+  /// Duration of the group's last step.
   Duration LastStep{};
 };
 
--- a/lib/Experts/GroupCoordinator.cpp
+++ b/lib/Experts/GroupCoordinator.cpp
@@ -1,7 +1,7 @@
-//===- GroupCoordinator.cpp - leads a group's map changes -----------------===//
+//===- GroupCoordinator.cpp - coordinates map changes ---------------------===//
 //
-// One phase at a time. A phase sends its order to every member that has not
-// answered, again and again, until all have or its time is up.
+// Runs one phase at a time. A phase repeats its order to every member that has
+// not replied, until all members have replied or the phase times out.
 //
 //===----------------------------------------------------------------------===//
 
@@ -51,7 +51,7 @@
 
 void GroupCoordinator::enter(CoordinatorPhase phase, TimePoint now) {
   Phase = phase;
-  Answers.clear();
+  Replies.clear();
   ResendAt = now + Limits.Resend;
   switch (phase) {
   case Phases::Loading:
@@ -61,18 +61,18 @@
     PhaseEnd = now + Limits.ArmTimeout;
     break;
   case Phases::Idle:
-    PhaseEnd = now + Limits.SurveyEvery;
+    PhaseEnd = now + Limits.SurveyInterval;
     ResendAt = PhaseEnd;
     break;
   default:
-    PhaseEnd = now + Limits.PhasePatience;
+    PhaseEnd = now + Limits.PhaseTimeout;
     break;
   }
   if (phase != Phases::Idle && phase != Phases::Following)
     resend(now);
 }
 
-/// Sends the present phase's order to whoever has not answered.
+/// Sends the current phase's order to all members that have not replied.
 void GroupCoordinator::resend(TimePoint now) {
   ResendAt = now + Limits.Resend;
   switch (Phase) {
@@ -86,33 +86,35 @@
   case Phases::Reforming:
   case Phases::Proposing:
   case Phases::Recording:
-    // A write whose answer is lost is settled by reading the record.
+    // If the reply to a write is lost, reading the record shows whether the
+    // write succeeded.
     ResendAt = now + Limits.Lease.CallTimeout;
-    callPlatform(KvPut{recordKey(Group), formatRecord(Writing), RecordAt, {}});
+    callPlatform(KvPut{
+        recordKey(Group), formatRecord(PendingRecord), RecordRevision, {}});
     return;
   case Phases::Surveying:
   case Phases::Committing:
     if (Phase == Phases::Committing)
-      sendToSilent(GroupOrderKind::Commit);
-    sendToSilent(GroupOrderKind::Report);
+      sendToPending(GroupOrderKind::Commit);
+    sendToPending(GroupOrderKind::Report);
     return;
   case Phases::Joining:
-    sendToSilent(GroupOrderKind::Join);
+    sendToPending(GroupOrderKind::Join);
     return;
   case Phases::Settling:
-    sendToSilent(GroupOrderKind::Ask);
-    sendToSilent(GroupOrderKind::Report);
+    sendToPending(GroupOrderKind::Ask);
+    sendToPending(GroupOrderKind::Report);
     return;
   case Phases::Loading:
-    sendToSilent(GroupOrderKind::Load);
+    sendToPending(GroupOrderKind::Load);
     return;
   case Phases::Arming:
-    sendToSilent(GroupOrderKind::Arm);
+    sendToPending(GroupOrderKind::Arm);
     return;
   }
 }
 
-void GroupCoordinator::sendToSilent(GroupOrderKind kind) {
+void GroupCoordinator::sendToPending(GroupOrderKind kind) {
   GroupOrder order;
   order.Group = Group;
   order.CoordinatorEpoch = Lease.epoch();
@@ -131,12 +133,12 @@
       order.Map = Record.Proposed->Map;
   }
   for (const EndpointId &it : Record.Members)
-    if (!Answers.contains(it))
+    if (!Replies.contains(it))
       Out.push_back(SendGroupOrder{it, order});
 }
 
 GroupActions GroupCoordinator::onReply(const GroupReply &reply, TimePoint now) {
-  // Act only while the own clock says that the lease stands.
+  // Act only while the local clock shows that the lease is valid.
   if (!Lease.isHeld(now) || Phase == Phases::Following)
     return takeActions();
   HighestStep = std::max(HighestStep, reply.Step);
@@ -144,7 +146,7 @@
   bool needsAll = Phase == Phases::Loading || Phase == Phases::Arming ||
                   Phase == Phases::Settling || Phase == Phases::Committing;
   if (!isCurrent && needsAll) {
-    // An engine was lost, and with it what it had promised in this generation.
+    // An engine restarted and lost its promises of this generation.
     enter(Phases::Surveying, now);
     return takeActions();
   }
@@ -152,27 +154,27 @@
   case Phases::Surveying:
     if (reply.Kind == GroupReplyKind::State ||
         reply.Kind == GroupReplyKind::Armed)
-      Answers[reply.Member] = reply;
-    if (hasAllAnswered())
+      Replies[reply.Member] = reply;
+    if (haveAllReplied())
       onSurveyed(now);
     break;
   case Phases::Joining:
     if (isCurrent && reply.Kind == GroupReplyKind::Joined)
-      Answers[reply.Member] = reply;
-    if (hasAllAnswered())
+      Replies[reply.Member] = reply;
+    if (haveAllReplied())
       enter(Phases::Surveying, now);
     break;
   case Phases::Loading:
     if (!isCurrent || reply.Attempt != Attempt)
       break;
     if (reply.Kind == GroupReplyKind::LoadFailed) {
-      // Do not try the same map again and again; the planner may ask anew.
+      // Do not retry the same map repeatedly; the planner may propose it again.
       if (Wanted == Record.Proposed->Map)
         Wanted.reset();
       enter(Phases::Idle, now);
     } else if (reply.Kind == GroupReplyKind::Loaded)
-      Answers[reply.Member] = reply;
-    if (Phase == Phases::Loading && hasAllAnswered()) {
+      Replies[reply.Member] = reply;
+    if (Phase == Phases::Loading && haveAllReplied()) {
       ArmStep = StepNumber(HighestStep.get() + Limits.StepsAhead);
       enter(Phases::Arming, now);
     }
@@ -184,8 +186,8 @@
     break;
   case Phases::Committing:
     if (isCurrent && reply.Version == Record.Proposed->Version)
-      Answers[reply.Member] = reply;
-    if (hasAllAnswered()) {
+      Replies[reply.Member] = reply;
+    if (haveAllReplied()) {
       GroupRecord next = Record;
       next.Committed = *Record.Proposed;
       next.Proposed.reset();
@@ -198,20 +200,21 @@
   return takeActions();
 }
 
-/// A member's word on the attempt: one refusal aborts it, all armed commits it.
+/// Handles a member's vote: one refusal aborts the attempt, the arming of all
+/// members commits it.
 void GroupCoordinator::onVote(const GroupReply &reply, TimePoint now) {
   switch (reply.Kind) {
   case GroupReplyKind::Armed:
-    Answers[reply.Member] = reply;
-    if (hasAllAnswered())
+    Replies[reply.Member] = reply;
+    if (haveAllReplied())
       commit(now);
     return;
   case GroupReplyKind::Committed:
     commit(now);
     return;
   case GroupReplyKind::Refused:
-    Answers.clear();
-    sendToSilent(GroupOrderKind::Abort);
+    Replies.clear();
+    sendToPending(GroupOrderKind::Abort);
     enter(Phases::Idle, now);
     return;
   default:
@@ -224,19 +227,20 @@
     enter(Phases::Committing, now);
     return;
   }
-  // An attempt of before the present record: its members finish it, and the
-  // next survey sees what they run.
-  Answers.clear();
-  sendToSilent(GroupOrderKind::Commit);
+  // The attempt precedes the current record: its members finish it, and the
+  // next survey shows which map they run.
+  Replies.clear();
+  sendToPending(GroupOrderKind::Commit);
   enter(Phases::Idle, now);
 }
 
-/// The members' states are known: settle what an earlier coordinator began.
+/// Called when all members' states are known: settles what an earlier
+/// coordinator began.
 void GroupCoordinator::onSurveyed(TimePoint now) {
   std::optional<ChangeAttempt> armed;
   bool isProposedRunning = false;
   bool isOtherRunning = false;
-  for (const auto &[member, reply] : Answers) {
+  for (const auto &[member, reply] : Replies) {
     if (reply.GroupGeneration != Record.GroupGeneration) {
       beginGeneration(now);
       return;
@@ -279,7 +283,7 @@
 void GroupCoordinator::propose(TimePoint now) {
   GroupRecord next = Record;
   next.Attempt = ChangeAttempt(Record.Attempt.get() + 1);
-  // Versions are numbered by attempts: both are never used twice.
+  // Versions are numbered by attempts; neither number is ever reused.
   next.Proposed = NumberedMap{MapVersion(next.Attempt.get()), *Wanted};
   writeRecord(std::move(next), Phases::Proposing, now);
 }
@@ -294,30 +298,31 @@
     return;
   case Phases::Surveying:
   case Phases::Joining:
-    // Whoever is silent may have left the group.
-    PhaseEnd = now + Limits.PhasePatience;
+    // Silent members may have left the group.
+    PhaseEnd = now + Limits.PhaseTimeout;
     if (Record.Members != Members)
       beginGeneration(now);
     return;
   case Phases::Settling:
   case Phases::Committing:
-    // An engine may have been lost after it answered: look anew at all.
+    // An engine may have restarted after its reply: query all members again.
     enter(Phases::Surveying, now);
     return;
   case Phases::Arming:
-    // Whoever has not armed refuses when asked; whoever has stays armed.
+    // Members that have not armed refuse when asked; members that have armed
+    // stay armed.
     enter(Phases::Settling, now);
     return;
   default:
-    PhaseEnd = now + Limits.PhasePatience;
+    PhaseEnd = now + Limits.PhaseTimeout;
     return;
   }
 }
 
 void GroupCoordinator::writeRecord(GroupRecord next, CoordinatorPhase phase,
                                    TimePoint now) {
-  Writing = std::move(next);
-  Writing.Writer = Lease.epoch();
+  PendingRecord = std::move(next);
+  PendingRecord.Writer = Lease.epoch();
   enter(phase, now);
 }
 
@@ -342,28 +347,29 @@
     Record = GroupRecord();
     if (Wanted)
       Record.Committed.Map = *Wanted;
-    RecordAt = Revision(0);
+    RecordRevision = Revision(0);
     beginGeneration(now);
     return;
   }
   if (reply.Code != ResultCode::Ok)
-    return; // asked again by resend()
+    return; // resend() reads the record again
   Result<GroupRecord> record = parseRecord(reply.Value);
   if (!record)
     return;
   Record = std::move(record.value());
-  RecordAt = reply.At;
+  RecordRevision = reply.At;
   enter(Phases::Surveying, now);
 }
 
 void GroupCoordinator::onRecordWritten(const KvReply &reply, TimePoint now) {
   if (reply.Code != ResultCode::Ok) {
-    // Perhaps written, perhaps another's write: begin again from the record.
+    // The record may have been written, or another process may have written it:
+    // start again by reading the record.
     enter(Phases::Reading, now);
     return;
   }
-  Record = Writing;
-  RecordAt = reply.At;
+  Record = PendingRecord;
+  RecordRevision = reply.At;
   switch (Phase) {
   case Phases::Reforming:
     enter(Phases::Joining, now);
@@ -378,11 +384,11 @@
   }
 }
 
-bool GroupCoordinator::hasAllAnswered() const {
-  auto hasAnswered = [this](const EndpointId &it) {
-    return Answers.contains(it);
+bool GroupCoordinator::haveAllReplied() const {
+  auto hasReplied = [this](const EndpointId &it) {
+    return Replies.contains(it);
   };
-  return std::all_of(Record.Members.begin(), Record.Members.end(), hasAnswered);
+  return std::all_of(Record.Members.begin(), Record.Members.end(), hasReplied);
 }
 
 void GroupCoordinator::callPlatform(KvCall call) {
--- a/lib/Experts/LeaseHolder.cpp
+++ b/lib/Experts/LeaseHolder.cpp
@@ -1,7 +1,7 @@
 //===- LeaseHolder.cpp - gets and keeps a lease ---------------------------===//
 //
-// The lease's span is counted from the moment the call was sent: the platform
-// cannot have started it earlier.
+// The lease's span is counted from the time at which the call was sent: the
+// platform cannot have started the lease earlier.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,12 +30,12 @@
   }
   NextCall = now + Limits.RetryEvery;
   if (std::exchange(IsTakingOver, false)) {
-    IsTaking = true;
+    IsAcquiring = true;
     return KvPut{Key, Self, OtherHolder, Limits.Span};
   }
   if (!std::exchange(IsFree, false))
     return KvGet{Key, true};
-  IsTaking = true;
+  IsAcquiring = true;
   return KvPut{Key, Self, Revision(0), Limits.Span};
 }
 
@@ -50,19 +50,20 @@
   if (!IsCalling)
     return;
   IsCalling = false;
-  bool wasTaking = std::exchange(IsTaking, false);
+  bool wasAcquiring = std::exchange(IsAcquiring, false);
   bool isOwn = Doubted.get() > 0 && reply.At == Doubted;
   if (Holder.get() == 0 && reply.Code == ResultCode::Ok && isOwn) {
     hold(Doubted);
     return;
   }
-  if (Holder.get() == 0 && !wasTaking) {
+  if (Holder.get() == 0 && !wasAcquiring) {
     IsFree = reply.Code == ResultCode::NotFound;
     if (IsFree || reply.Code == ResultCode::Ok)
-      noteHolder(reply);
+      recordHolder(reply);
     if (IsFree)
       NextCall = now;
-    // An earlier life of this process held it: nobody else will use it.
+    // An earlier incarnation of this process holds the lease; no other process
+    // uses it.
     bool wasOwn = reply.Code == ResultCode::Ok && reply.Value == Self;
     if (wasOwn && Limits.TakesOwn)
       takeOver(now);
@@ -72,16 +73,17 @@
     hold(reply.At);
     return;
   }
-  // Another was faster; it is the holder now.
-  if (wasTaking && reply.Code == ResultCode::PlatformConflict)
-    noteHolder(reply);
+  // Another process acquired the lease first and is the holder now.
+  if (wasAcquiring && reply.Code == ResultCode::PlatformConflict)
+    recordHolder(reply);
   bool isGone = reply.Code == ResultCode::NotFound ||
                 reply.Code == ResultCode::PlatformConflict;
   if (Holder.get() == 0 || !isGone)
     return;
   lose(now);
-  // A lease that ran out in an outage is free for everybody at this moment; the
-  // group is best led by whoever led it.
+  // A lease that expired during an outage becomes free for all candidates at
+  // this moment. The previous coordinator retries at once, since it is best
+  // placed to continue to lead the group.
   IsFree = reply.Code == ResultCode::NotFound;
   if (IsFree)
     NextCall = now;
@@ -103,8 +105,8 @@
   NextCall = now;
 }
 
-void LeaseHolder::noteHolder(const KvReply &reply) {
-  HolderText = reply.Value;
+void LeaseHolder::recordHolder(const KvReply &reply) {
+  HolderName = reply.Value;
   OtherHolder = reply.At;
 }
 
@@ -120,6 +122,6 @@
 void LeaseHolder::lose(TimePoint now) {
   Holder = Revision(0);
   IsCalling = false;
-  IsTaking = false;
+  IsAcquiring = false;
   NextCall = now + Limits.RetryEvery;
 }
--- a/lib/Experts/MapDelta.cpp
+++ b/lib/Experts/MapDelta.cpp
@@ -1,7 +1,7 @@
-//===- MapDelta.cpp - maps told by what differs ---------------------------===//
+//===- MapDelta.cpp - maps encoded as differences -------------------------===//
 //
-// See MapDelta.h. No two maps ever have one version, so a version tells both
-// sides which map is meant.
+// See MapDelta.h. No two maps ever have the same version, so a version
+// identifies the map for both sides.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +16,7 @@
 /// order, so the map before has come unless it was dropped.
 static constexpr unsigned MaxShortTries = 1;
 
-/// Adds to \p out what differs between \p base and \p set.
+/// Adds the differences between \p base and \p set to \p out.
 static void addDifference(std::uint32_t rank, std::uint32_t setNumber,
                           const std::vector<ExpertNumber> &base,
                           const std::vector<ExpertNumber> &set, MapDelta &out) {
@@ -29,8 +29,8 @@
       out.Replaced.push_back({rank, setNumber, place, set[place]});
 }
 
-/// What differs between \p base and \p map; nothing if they are not of one
-/// shape. The base's version is left to the caller.
+/// Returns the differences between \p base and \p map; none if their shapes
+/// differ. The caller sets the version of the base.
 static std::optional<MapDelta> difference(const GroupPlacement &base,
                                           const GroupPlacement &map) {
   if (base.size() != map.size())
@@ -46,7 +46,7 @@
 }
 
 /// The map that a group of \p shape is formed with.
-static GroupPlacement deal(const DealtShape &shape) {
+static GroupPlacement makeInitialMap(const DealtShape &shape) {
   RankPlacement none(shape.Sets);
   GroupPlacement out(shape.Ranks, none);
   for (std::uint32_t expert = 0; expert < shape.Experts; ++expert)
@@ -67,7 +67,7 @@
   return out;
 }
 
-/// Numbers on the wire.
+/// Count of numbers on the wire.
 static std::size_t lengthOf(const MapDelta &delta) {
   constexpr std::size_t Head = 3;
   constexpr std::size_t OfReplaced = 2;
@@ -85,13 +85,13 @@
   return out;
 }
 
-/// \p map as what differs from the one that its group was formed with; nothing
-/// if that is not shorter.
-static std::optional<MapDelta> fromDealt(const GroupPlacement &map) {
+/// Encodes \p map as its differences from the map that its group was formed
+/// with; none if that is not shorter.
+static std::optional<MapDelta> encodeFromInitial(const GroupPlacement &map) {
   DealtShape shape = shapeOf(map);
   if (shape.Ranks == 0)
     return std::nullopt;
-  std::optional<MapDelta> out = difference(deal(shape), map);
+  std::optional<MapDelta> out = difference(makeInitialMap(shape), map);
   if (!out || lengthOf(*out) >= lengthOf(map))
     return std::nullopt;
   out->Dealt = shape;
@@ -103,7 +103,7 @@
   MapOrder out = order;
   if (!order.Map)
     return out;
-  Sent now{link, order.Version, order.Map};
+  Sent current{link, order.Version, order.Map};
   auto it = LastSent.find(rank);
   bool isKnown = it != LastSent.end() && it->second.Link == link;
   if (isKnown && tries <= MaxShortTries) {
@@ -111,25 +111,25 @@
     if (out.Delta)
       out.Delta->Base = it->second.Version;
   } else if (tries <= MaxShortTries) {
-    out.Delta = dealtDelta(order);
+    out.Delta = initialDelta(order);
   }
   if (out.Delta)
     out.Map = nullptr;
-  LastSent[rank] = std::move(now);
+  LastSent[rank] = std::move(current);
   return out;
 }
 
-/// The same for all ranks: worked out once for each map.
-std::optional<MapDelta> SentMaps::dealtDelta(const MapOrder &order) {
-  if (DealtOf != order.Map) {
-    DealtOf = order.Map;
-    Dealt = fromDealt(*order.Map);
+/// The delta is the same for all ranks, so it is computed once per map.
+std::optional<MapDelta> SentMaps::initialDelta(const MapOrder &order) {
+  if (InitialDeltaOf != order.Map) {
+    InitialDeltaOf = order.Map;
+    Dealt = encodeFromInitial(*order.Map);
   }
   return Dealt;
 }
 
-/// Makes \p map differ by \p delta. False if it has no such places.
-static bool change(GroupPlacement &map, const MapDelta &delta) {
+/// Applies \p delta to \p map. Returns false if \p map lacks one of the places.
+static bool applyDelta(GroupPlacement &map, const MapDelta &delta) {
   auto hasSet = [&map](std::uint32_t rank, std::uint32_t set) {
     return rank < map.size() && set < map[rank].size();
   };
@@ -152,11 +152,12 @@
 
 bool ToldMap::complete(MapOrder &order) {
   if (order.Delta) {
-    bool isDealt = order.Delta->Dealt.has_value();
-    if (!isDealt && (!Map || Version != order.Delta->Base))
+    bool isFromInitial = order.Delta->Dealt.has_value();
+    if (!isFromInitial && (!Map || Version != order.Delta->Base))
       return false;
-    GroupPlacement whole = isDealt ? deal(*order.Delta->Dealt) : *Map;
-    if (!change(whole, *order.Delta))
+    GroupPlacement whole =
+        isFromInitial ? makeInitialMap(*order.Delta->Dealt) : *Map;
+    if (!applyDelta(whole, *order.Delta))
       return false;
     order.Map = std::make_shared<const GroupPlacement>(std::move(whole));
     order.Delta.reset();
--- a/lib/Experts/PlacementPlanner.cpp
+++ b/lib/Experts/PlacementPlanner.cpp
@@ -1,7 +1,8 @@
 //===- PlacementPlanner.cpp - which experts each rank should hold ---------===//
 //
-// Greedy: the copy that gains most in any set, until none is worth it. Each
-// set's best copy is looked for again only after a change that concerns it.
+// Greedy: applies the copy with the highest gain in any set until no copy is
+// worth its cost. The best copy of a set is recomputed only after a change that
+// affects the copy.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,24 +15,25 @@
 using namespace ospreyspur;
 
 namespace {
-/// A plan in the making.
-class Draft {
+/// A plan under construction.
+class PlanBuilder {
 public:
-  Draft(const PlacementLimits &limits, const GroupPlacement &current,
-        const std::vector<double> &demand, const std::vector<double> &paces);
+  PlanBuilder(const PlacementLimits &limits, const GroupPlacement &current,
+              const std::vector<double> &demand,
+              const std::vector<double> &paces);
 
-  PlacementPlan make();
+  PlacementPlan build();
 
 private:
   bool mayTake(std::size_t set, unsigned rank) const;
   void findCopies();
-  void forgetCopiesTo(unsigned rank);
+  void invalidateCopiesTo(unsigned rank);
   double meanSkew() const;
 
   const PlacementLimits &Limits;
   std::size_t RankCount;
   std::vector<SetPlacement> Sets;
-  /// The best copy of each set; looked for again if it is not known.
+  /// The best copy of each set; recomputed if not known.
   std::vector<std::optional<ExpertCopy>> Best;
   std::vector<bool> IsKnown;
   /// New experts by rank, and by set and rank.
@@ -40,9 +42,10 @@
 };
 } // namespace
 
-Draft::Draft(const PlacementLimits &limits, const GroupPlacement &current,
-             const std::vector<double> &demand,
-             const std::vector<double> &paces)
+PlanBuilder::PlanBuilder(const PlacementLimits &limits,
+                         const GroupPlacement &current,
+                         const std::vector<double> &demand,
+                         const std::vector<double> &paces)
     : Limits(limits), RankCount(current.size()) {
   std::size_t sets = current.empty() ? 0 : current.front().size();
   std::size_t experts = sets == 0 ? 0 : demand.size() / sets;
@@ -61,12 +64,12 @@
   NewInSet.assign(sets, std::vector<std::size_t>(RankCount, 0));
 }
 
-bool Draft::mayTake(std::size_t set, unsigned rank) const {
+bool PlanBuilder::mayTake(std::size_t set, unsigned rank) const {
   return NewOnRank[rank] < Limits.NewPerRank &&
          NewInSet[set][rank] < Limits.NewPerSet;
 }
 
-void Draft::findCopies() {
+void PlanBuilder::findCopies() {
   for (std::size_t set = 0; set < Sets.size(); ++set) {
     if (IsKnown[set])
       continue;
@@ -76,20 +79,20 @@
   }
 }
 
-void Draft::forgetCopiesTo(unsigned rank) {
+void PlanBuilder::invalidateCopiesTo(unsigned rank) {
   for (std::size_t set = 0; set < Sets.size(); ++set)
     if (Best[set] && Best[set]->Rank == rank)
       IsKnown[set] = false;
 }
 
-double Draft::meanSkew() const {
+double PlanBuilder::meanSkew() const {
   double sum = 0;
   for (const SetPlacement &it : Sets)
     sum += it.skew();
   return Sets.empty() ? 1 : sum / double(Sets.size());
 }
 
-PlacementPlan Draft::make() {
+PlacementPlan PlanBuilder::build() {
   PlacementPlan plan;
   plan.SkewBefore = meanSkew();
   for (;;) {
@@ -109,10 +112,10 @@
       continue;
     ++plan.Copies;
     ++NewInSet[set][rank];
-    // A rank that is full for this change is no choice in any set. Copies to
+    // A rank at its limit for this change is excluded in all sets. Copies to
     // other ranks stay the best of their sets.
     if (++NewOnRank[rank] >= Limits.NewPerRank)
-      forgetCopiesTo(rank);
+      invalidateCopiesTo(rank);
   }
   plan.SkewAfter = meanSkew();
   plan.Placement.resize(RankCount);
@@ -125,5 +128,5 @@
 PlacementPlan PlacementPlanner::plan(const GroupPlacement &current,
                                      const std::vector<double> &demand,
                                      const std::vector<double> &paces) const {
-  return Draft(Limits, current, demand, paces).make();
+  return PlanBuilder(Limits, current, demand, paces).build();
 }
--- a/unittests/Experts/LargeGroupTest.cpp
+++ b/unittests/Experts/LargeGroupTest.cpp
@@ -1,8 +1,9 @@
-//===- LargeGroupTest.cpp - groups whose maps fill a coordinator's link ---===//
+//===- LargeGroupTest.cpp - maps that fill a coordinator's link -----------===//
 //
-// A coordinator of 32, 96 and 256 ranks behind a narrow link changes maps: what
-// it sends waits for the link, copies of orders too. Members' hosts freeze and
-// the coordinator's host does; orders are lost.
+// A coordinator of 32, 96 or 256 ranks behind a narrow link changes maps;
+// everything that the coordinator sends, repeated orders included, queues for
+// the link. The hosts of members and of the coordinator freeze, and orders are
+// lost.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,14 +24,14 @@
 using std::chrono::seconds;
 
 namespace {
-/// Sets of layers and places a rank and set of the users' large groups.
+/// Sets of layers, and places per rank and set, of the platform's large groups.
 constexpr unsigned Sets = 16;
 constexpr unsigned Places = 3;
 constexpr double LinkBytesPerSecond = 6e6 / 8;
 constexpr double MapShare = 0.4;
 
-/// Two experts a rank and set, dealt in turn, and one copy a rank that moves
-/// with each turn.
+/// Each rank and set holds two experts, assigned in turn. Each rank holds one
+/// copy, which moves with each turn.
 GroupPlacement makeMap(unsigned size, unsigned turn) {
   GroupPlacement out(size, RankPlacement(Sets));
   for (unsigned rank = 0; rank < size; ++rank)
@@ -44,19 +45,19 @@
   return out;
 }
 
-/// What goes wrong beside the narrow link.
-struct Trouble {
-  /// Parts in a hundred.
+/// Faults in addition to the narrow link.
+struct Faults {
+  /// In percent.
   unsigned LostOrders = 0;
   bool FreezesMembers = false;
   bool FreezesCoordinator = false;
 };
 
 /// A large group and its coordinators on virtual time.
-class LargeWorld {
+class LargeGroupSimulation {
 public:
-  LargeWorld(unsigned size, std::uint64_t seed, Trouble trouble)
-      : Time(seed, 0), Size(size), What(trouble), Group(size, true),
+  LargeGroupSimulation(unsigned size, std::uint64_t seed, Faults faults)
+      : Time(seed, 0), Size(size), ActiveFaults(faults), Group(size, true),
         FrozenUntil(size) {
     addCoordinator(0);
     at(Duration(0), [this] { step(); });
@@ -66,12 +67,12 @@
   }
 
   void run(Duration length) { Time.runUntil(Time.now() + length); }
-  /// Lets all troubles end.
-  void calm() { What = {}; }
+  /// Ends all faults.
+  void endFaults() { ActiveFaults = {}; }
 
   PlatformGroup &group() { return Group; }
   unsigned changes() const { return Changes; }
-  /// How long after the start.
+  /// Time from the start to the first change.
   Duration firstChange() const { return FirstChange; }
   std::uint64_t orders() const { return Orders; }
   std::uint64_t bytes() const { return Bytes; }
@@ -98,14 +99,14 @@
   }
 
   void addCoordinator(unsigned own) {
-    Present = std::make_shared<Coordinator>(own);
-    Present->Switch.lead(++Lease, own, Time.now());
-    All.push_back(Present);
+    Current = std::make_shared<Coordinator>(own);
+    Current->Switch.lead(++Lease, own, Time.now());
+    All.push_back(Current);
   }
 
   bool isFrozen(unsigned rank) const { return Time.now() < FrozenUntil[rank]; }
 
-  /// Runs \p what when the host of \p rank is awake.
+  /// Runs \p what once the host of \p rank is not frozen.
   void onHost(unsigned rank, std::function<void()> what) {
     if (!isFrozen(rank)) {
       what();
@@ -126,7 +127,7 @@
   void report(unsigned rank) {
     if (!isFrozen(rank)) {
       RankStatus status = Group.status(rank, Time.now());
-      Owner to = Present;
+      Owner to = Current;
       at(draw(milliseconds(1), milliseconds(8)), [this, rank, status, to] {
         onHost(to->Own, [this, rank, status, to] {
           act(to, to->Switch.onStatus(rank, status, Time.now(), Time.now()));
@@ -143,12 +144,12 @@
         if (it->Switch.canBegin(Time.now()))
           act(it, it->Switch.begin(makeMap(Size, ++Turn), Time.now()));
       });
-    if (What.FreezesMembers && Time.chance(2))
+    if (ActiveFaults.FreezesMembers && Time.chance(2))
       freeze(unsigned(Time.below(Size)));
-    if (What.FreezesCoordinator && Time.below(200) == 0) {
-      freeze(Present->Own);
+    if (ActiveFaults.FreezesCoordinator && Time.below(200) == 0) {
+      freeze(Current->Own);
       at(milliseconds(600), [this] {
-        addCoordinator((Present->Own + 1) % Size);
+        addCoordinator((Current->Own + 1) % Size);
         if (All.size() > 3)
           All.erase(All.begin());
       });
@@ -184,11 +185,11 @@
       from->Lane.onSent(sizeOf(order), now);
       transmit(from, next->Rank, next->Order, sizeOf(order));
     }
-    std::optional<TimePoint> room = from->Lane.nextTimer();
-    if (!room || (from->WakeAt && *from->WakeAt <= *room))
+    std::optional<TimePoint> due = from->Lane.nextTimer();
+    if (!due || (from->WakeAt && *from->WakeAt <= *due))
       return;
-    from->WakeAt = room;
-    Time.at(*room, [this, from] {
+    from->WakeAt = due;
+    Time.at(*due, [this, from] {
       from->WakeAt.reset();
       onHost(from->Own, [this, from] { sendMaps(from); });
     });
@@ -206,7 +207,7 @@
         std::chrono::duration_cast<Duration>(
             std::chrono::duration<double>(double(bytes) / LinkBytesPerSecond));
     LongestQueue = std::max(LongestQueue, from->LinkFreeAt - now);
-    if (Time.chance(What.LostOrders))
+    if (Time.chance(ActiveFaults.LostOrders))
       return;
     Time.at(from->LinkFreeAt + draw(milliseconds(1), milliseconds(5)),
             [this, from, rank, order] {
@@ -226,12 +227,12 @@
 
   test::RandomScheduler Time;
   unsigned Size;
-  Trouble What;
+  Faults ActiveFaults;
   PlatformGroup Group;
   std::vector<TimePoint> FrozenUntil;
   std::uint64_t Lease = 0;
   std::vector<Owner> All;
-  Owner Present;
+  Owner Current;
   unsigned Turn = 0;
   unsigned Changes = 0;
   TimePoint Began = Time.now();
@@ -242,44 +243,45 @@
 };
 } // namespace
 
-TEST_CASE("a large group changes its map again and again on a narrow link") {
+TEST_CASE("a large group changes its map repeatedly on a narrow link") {
   for (unsigned size : {32U, 96U, 256U}) {
     INFO("ranks " << size);
-    LargeWorld world(size, 1, {});
-    world.run(seconds(30));
-    // With 256 ranks what differs takes 2.4 s of the lane's part of the link.
-    CHECK(world.changes() >= (size < 256 ? 10 : 5));
-    // The first one, from what the ranks were formed with.
-    CHECK(world.firstChange() < seconds(5));
-    CHECK(world.group().mixedSteps() == 0);
+    LargeGroupSimulation simulation(size, 1, {});
+    simulation.run(seconds(30));
+    // With 256 ranks, sending the differences takes 2.4 s of the maps' share of
+    // the link.
+    CHECK(simulation.changes() >= (size < 256 ? 10 : 5));
+    // The first change starts from the map that the group was formed with.
+    CHECK(simulation.firstChange() < seconds(5));
+    CHECK(simulation.group().mixedSteps() == 0);
     // Steps wait for a few orders at most, not for maps.
-    CHECK(world.group().heldSteps() <= world.changes() * 2);
-    // Five orders a change and rank, one more at the coordinator's start, and
+    CHECK(simulation.group().heldSteps() <= simulation.changes() * 2);
+    // Five orders per change and rank, one more at the coordinator's start, and
     // those of the change under way.
-    std::uint64_t wanted = std::uint64_t(size) * 5 * (world.changes() + 2);
-    CHECK(world.orders() <= wanted);
-    CHECK(world.longestQueue() < milliseconds(200));
+    std::uint64_t wanted = std::uint64_t(size) * 5 * (simulation.changes() + 2);
+    CHECK(simulation.orders() <= wanted);
+    CHECK(simulation.longestQueue() < milliseconds(200));
   }
 }
 
-TEST_CASE("no step of a large group has two maps while hosts freeze") {
-  Trouble trouble;
-  trouble.LostOrders = 2;
-  trouble.FreezesMembers = true;
-  trouble.FreezesCoordinator = true;
+TEST_CASE("no step of a large group uses two maps while hosts freeze") {
+  Faults faults;
+  faults.LostOrders = 2;
+  faults.FreezesMembers = true;
+  faults.FreezesCoordinator = true;
   for (unsigned size : {32U, 96U}) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       INFO("ranks " << size << ", seed " << seed);
-      LargeWorld world(size, seed, trouble);
-      world.run(seconds(40));
-      CHECK(world.group().mixedSteps() == 0);
-      // Once nothing fails any more, maps come into force again.
-      world.calm();
-      world.run(seconds(5));
-      unsigned before = world.changes();
-      world.run(seconds(15));
-      CHECK(world.changes() > before);
-      CHECK(world.group().mixedSteps() == 0);
+      LargeGroupSimulation simulation(size, seed, faults);
+      simulation.run(seconds(40));
+      CHECK(simulation.group().mixedSteps() == 0);
+      // Once all faults have ended, maps come into force again.
+      simulation.endFaults();
+      simulation.run(seconds(5));
+      unsigned before = simulation.changes();
+      simulation.run(seconds(15));
+      CHECK(simulation.changes() > before);
+      CHECK(simulation.group().mixedSteps() == 0);
     }
   }
 }
--- a/unittests/Experts/MapDeltaTest.cpp
+++ b/unittests/Experts/MapDeltaTest.cpp
@@ -1,7 +1,7 @@
-//===- MapDeltaTest.cpp - what a change of maps costs a link --------------===//
+//===- MapDeltaTest.cpp - encoding maps as differences --------------------===//
 //
-// Agents must end up with the very map that the coordinator meant, whatever was
-// lost; a change must not fill the coordinator's link.
+// Agents must reconstruct exactly the map that the coordinator sent, whatever
+// was lost, and a change must not fill the coordinator's link.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,7 @@
 static constexpr unsigned Experts = 128;
 static constexpr LinkId Link = LinkId(1);
 
-static GroupPlacement dealt() {
+static GroupPlacement makeMap() {
   GroupPlacement out(Ranks, RankPlacement(Sets));
   for (auto &rank : out)
     for (auto &set : rank)
@@ -46,22 +46,22 @@
   return bytes.ByteSizeLong();
 }
 
-TEST_CASE("a change of one expert a rank takes little of the link") {
-  GroupPlacement map = dealt();
+TEST_CASE("a change of one expert per rank takes few bytes") {
+  GroupPlacement map = makeMap();
   SentMaps sent;
   std::size_t first = bytesOf(sent.shorten(3, Link, prepare(1, map), 0));
   CHECK(first > std::size_t(Ranks) * Sets * 5);
   for (unsigned rank = 0; rank < Ranks; ++rank)
     map[rank][rank % Sets][0] = 100;
   std::size_t change = bytesOf(sent.shorten(3, Link, prepare(2, map), 0));
-  // Some three bytes a copy: by whole sets it were eleven.
+  // About three bytes per copy; whole sets would take eleven.
   CHECK(change < std::size_t(Ranks) * 4 + 32);
-  // A copy of an order that got no answer says only that nothing changed.
+  // A repeated order without a reply only says that nothing has changed.
   CHECK(bytesOf(sent.shorten(3, Link, prepare(2, map), 1)) < 64);
 }
 
 TEST_CASE(
-    "the first map of a group is told by what differs from the dealt one") {
+    "a group's first change is sent as differences from the initial map") {
   constexpr unsigned Size = 96;
   constexpr unsigned AllExperts = 192;
   GroupPlacement map(Size, RankPlacement(Sets));
@@ -76,25 +76,25 @@
     map[rank][rank % Sets].push_back((rank * 7) % AllExperts);
   SentMaps sent;
   MapOrder order = sent.shorten(3, Link, prepare(9, map), 0);
-  // Three bytes a place; by whole sets ten.
+  // Three bytes per place; whole sets would take ten.
   CHECK(bytesOf(order) < Size * 4 + 32);
   CHECK(bytesOf(order) < whole / 3);
-  // Over the wire and back.
+  // Encode the order and decode it.
   wire::Message bytes;
   encode(order, bytes);
   std::optional<Message> read = decode(bytes);
   REQUIRE(read);
-  auto told = std::get<MapOrder>(*read);
-  REQUIRE(ToldMap().complete(told));
-  CHECK(*told.Map == map);
-  // What no longer resembles it goes whole.
+  auto decoded = std::get<MapOrder>(*read);
+  REQUIRE(ToldMap().complete(decoded));
+  CHECK(*decoded.Map == map);
+  // A map that differs too much from the initial map is sent whole.
   for (auto &rank : map)
     for (auto &set : rank)
       std::reverse(set.begin(), set.end());
   CHECK(SentMaps().shorten(3, Link, prepare(10, map), 0).Map);
 }
 
-TEST_CASE("a dealt map of no group's shape is not read") {
+TEST_CASE("an initial map of an impossible shape is not decoded") {
   MapOrder order = prepare(1, {});
   order.Map = nullptr;
   for (DealtShape it :
@@ -107,7 +107,8 @@
   }
 }
 
-TEST_CASE("places go over the wire as they were, damaged ones are not read") {
+TEST_CASE(
+    "replaced experts survive encoding, and damaged ones are not decoded") {
   MapOrder order = prepare(7, {});
   order.Map = nullptr;
   order.Delta = MapDelta{MapVersion(6), {{1, 2, {3, 4}}}};
@@ -138,41 +139,41 @@
   }
 }
 
-TEST_CASE("what is told by what differs is the same map, whatever was lost") {
+TEST_CASE("a map sent as differences is restored exactly, whatever was lost") {
   std::mt19937 random(1);
-  GroupPlacement map = dealt();
+  GroupPlacement map = makeMap();
   SentMaps sent;
-  ToldMap told;
+  ToldMap receiver;
   std::uint64_t link = 1;
   for (std::uint64_t version = 1; version <= 300; ++version) {
     for (unsigned i = 0; i < random() % 40; ++i)
       map[random() % Ranks][random() % Sets][random() % 5] =
           static_cast<ExpertNumber>(random() % Experts);
-    MapOrder meant = prepare(version, map);
-    bool isTaken = false;
-    for (unsigned tries = 0; tries < 8 && !isTaken; ++tries) {
+    MapOrder intended = prepare(version, map);
+    bool isRestored = false;
+    for (unsigned tries = 0; tries < 8 && !isRestored; ++tries) {
       bool isNewLink = random() % 50 == 0;
       link += isNewLink ? 1 : 0;
-      MapOrder order = sent.shorten(3, LinkId(link), meant, tries);
+      MapOrder order = sent.shorten(3, LinkId(link), intended, tries);
       bool isLost = tries < 4 && random() % 4 == 0;
-      if (isLost || !told.complete(order))
+      if (isLost || !receiver.complete(order))
         continue;
-      isTaken = true;
+      isRestored = true;
       REQUIRE(order.Map);
       CHECK_FALSE(order.Delta.has_value());
       CHECK(*order.Map == map);
     }
-    CHECK(isTaken);
-    // The agent may be started again between two changes.
+    CHECK(isRestored);
+    // The agent may restart between two changes.
     if (random() % 20 == 0) {
-      told = ToldMap();
+      receiver = ToldMap();
       link += random() % 2;
     }
   }
 }
 
-TEST_CASE("another link or an unanswered copy gets the whole map again") {
-  GroupPlacement map = dealt();
+TEST_CASE("a new link or two unanswered copies cause a whole map") {
+  GroupPlacement map = makeMap();
   SentMaps sent;
   CHECK(sent.shorten(3, Link, prepare(1, map), 0).Map);
   CHECK_FALSE(sent.shorten(3, Link, prepare(2, map), 0).Map);
@@ -184,32 +185,32 @@
   CHECK_FALSE(sent.shorten(3, Link, hold, 0).Delta.has_value());
 }
 
-TEST_CASE("a difference from a map that is not known here is not taken") {
-  ToldMap told;
+TEST_CASE("differences from an unknown map are refused") {
+  ToldMap receiver;
   MapOrder order;
   order.Kind = MapOrderKind::Prepare;
   order.Version = MapVersion(5);
   order.Delta = MapDelta{MapVersion(4), {}};
-  CHECK_FALSE(told.complete(order));
-  MapOrder whole = prepare(4, dealt());
-  CHECK(told.complete(whole));
+  CHECK_FALSE(receiver.complete(order));
+  MapOrder whole = prepare(4, makeMap());
+  CHECK(receiver.complete(whole));
   MapOrder beyond = order;
   beyond.Delta->Sets.push_back({Ranks, 0, {1}});
-  CHECK_FALSE(told.complete(beyond));
+  CHECK_FALSE(receiver.complete(beyond));
   for (ReplacedExpert it :
        {ReplacedExpert{Ranks, 0, 0, 1}, ReplacedExpert{0, Sets, 0, 1},
         ReplacedExpert{0, 0, 6, 1}}) {
     MapOrder other = order;
     other.Delta.emplace(MapDelta{MapVersion(4), {}, std::nullopt, {it}});
-    CHECK_FALSE(told.complete(other));
+    CHECK_FALSE(receiver.complete(other));
   }
-  CHECK(told.complete(order));
+  CHECK(receiver.complete(order));
   REQUIRE(order.Map);
-  CHECK(*order.Map == dealt());
-  // The same base again: this agent now knows version 5.
+  CHECK(*order.Map == makeMap());
+  // The agent now knows version 5, so the earlier base is refused.
   MapOrder late;
   late.Kind = MapOrderKind::Prepare;
   late.Version = MapVersion(6);
   late.Delta = MapDelta{MapVersion(4), {}};
-  CHECK_FALSE(told.complete(late));
+  CHECK_FALSE(receiver.complete(late));
 }
--- a/unittests/Experts/MapSwitchTest.cpp
+++ b/unittests/Experts/MapSwitchTest.cpp
@@ -1,8 +1,8 @@
 //===- MapSwitchTest.cpp - one map in every step --------------------------===//
 //
-// Coordinators change the maps of a fake group while orders are lost or carried
-// out seconds late, coordinators freeze at any point and others take over, and
-// the platform forms the group anew.
+// Coordinators change the maps of a simulated group while orders are lost or
+// executed seconds late, coordinators freeze at any point and others take over,
+// and the platform re-forms the group.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,14 +23,14 @@
 using std::chrono::seconds;
 
 namespace {
-/// What may go wrong.
+/// The faults to inject.
 struct Faults {
-  /// Parts in a hundred.
+  /// In percent.
   unsigned LostOrders = 0;
   unsigned LateOrders = 0;
   unsigned LostReplies = 0;
-  /// Orders that wait for a retransmission on their link, with whatever else
-  /// goes to that rank meanwhile.
+  /// Percentage of orders that wait for a retransmission on their link,
+  /// together with all later messages to the same rank.
   unsigned Retransmitted = 0;
   bool Freezes = false;
   bool Forms = false;
@@ -38,12 +38,12 @@
 };
 
 /// A group and its coordinators on virtual time.
-class SwitchWorld {
+class SwitchSimulation {
 public:
   static constexpr unsigned Size = 4;
 
-  SwitchWorld(std::uint64_t seed, Faults faults)
-      : Time(seed, 0), What(faults), Group(Size, faults.ChecksFences) {
+  SwitchSimulation(std::uint64_t seed, Faults faults)
+      : Time(seed, 0), ActiveFaults(faults), Group(Size, faults.ChecksFences) {
     addCoordinator();
     LastStepAt = Time.now();
     at(Duration(0), [this] { step(); });
@@ -56,23 +56,24 @@
   PlatformGroup &group() { return Group; }
   unsigned changes() const { return Changes; }
   /// The longest time without a step.
-  Duration longestStand() const { return LongestStand; }
-  /// The coordinator's host freezes for four seconds as it gives the first
-  /// order of this kind of the next change; another takes over after half a
-  /// second.
-  void freezeGiver(MapOrderKind kind) {
+  Duration longestStall() const { return LongestStall; }
+  /// When the coordinator sends its first order of kind \p kind in the next
+  /// change, its host freezes for four seconds. Another coordinator takes over
+  /// after half a second.
+  void freezeSender(MapOrderKind kind) {
     IsNextChange = false;
-    GiverFreezes = true;
-    GiverKind = kind;
+    IsSenderToFreeze = true;
+    FreezeKind = kind;
   }
 
 private:
   struct Coordinator {
     MapSwitch Switch{SwitchLimits()};
-    /// The rank on its host; that cannot be reached while the host is frozen.
+    /// The rank on the coordinator's host, unreachable while the host is
+    /// frozen.
     unsigned Own = 0;
     TimePoint FrozenUntil;
-    /// What came while it was frozen.
+    /// Inputs that arrived while the host was frozen.
     std::vector<std::function<void()>> Waiting;
   };
 
@@ -95,7 +96,7 @@
     Coordinators.push_back(it);
   }
 
-  /// When the host of \p rank can be reached again.
+  /// When the host of \p rank is reachable again.
   TimePoint wakeTime(unsigned rank) const {
     TimePoint out;
     for (const auto &it : Coordinators)
@@ -104,7 +105,7 @@
     return out;
   }
 
-  /// Runs \p what at \p it now, or when it wakes.
+  /// Runs \p what at \p it now, or once its host is no longer frozen.
   void deliver(const std::shared_ptr<Coordinator> &it,
                std::function<void()> what) {
     if (Time.now() < it->FrozenUntil) {
@@ -121,7 +122,7 @@
     unsigned held = Group.heldSteps();
     Group.step(Time.now());
     if (Group.heldSteps() == held) {
-      LongestStand = std::max(LongestStand, Time.now() - LastStepAt);
+      LongestStall = std::max(LongestStall, Time.now() - LastStepAt);
       LastStepAt = Time.now();
     }
     if (Group.map() > before)
@@ -151,14 +152,14 @@
         if (it->Switch.canBegin(Time.now()) && chance(30))
           send(it, it->Switch.begin(GroupPlacement(Size, {{1}}), Time.now()));
       });
-    if (What.Freezes && chance(1))
+    if (ActiveFaults.Freezes && chance(1))
       freeze();
-    if (What.Forms && Time.below(400) == 0)
+    if (ActiveFaults.Forms && Time.below(400) == 0)
       Group.form();
     at(milliseconds(20), [this] { tick(); });
   }
 
-  /// The latest coordinator freezes and another takes over meanwhile.
+  /// Freezes the latest coordinator; another one takes over meanwhile.
   void freeze() {
     Coordinators.back()->FrozenUntil =
         Time.now() + draw(milliseconds(5), seconds(4));
@@ -175,18 +176,18 @@
 
   void sendOne(const std::shared_ptr<Coordinator> &from, unsigned rank,
                const MapOrder &order, unsigned tries) {
-    if (chance(What.LostOrders))
+    if (chance(ActiveFaults.LostOrders))
       return;
-    bool isLate = chance(What.LateOrders);
+    bool isLate = chance(ActiveFaults.LateOrders);
     Duration after = isLate ? draw(seconds(2), seconds(12))
                             : draw(milliseconds(1), milliseconds(8));
-    // Holds and every second copy go to the rank past its agent.
-    bool isOtherWay = tries % 2 == 1 || order.Kind == MapOrderKind::Hold;
-    if (!isOtherWay)
+    // Holds and every second copy bypass the rank's agent.
+    bool isBypass = tries % 2 == 1 || order.Kind == MapOrderKind::Hold;
+    if (!isBypass)
       after = std::max(after, waitOnLink(rank));
     IsNextChange = IsNextChange || order.Kind == MapOrderKind::Prepare;
-    if (GiverFreezes && IsNextChange && order.Kind == GiverKind) {
-      GiverFreezes = false;
+    if (IsSenderToFreeze && IsNextChange && order.Kind == FreezeKind) {
+      IsSenderToFreeze = false;
       from->FrozenUntil = Time.now() + seconds(4);
       at(milliseconds(500), [this] { addCoordinator(); });
     }
@@ -194,16 +195,16 @@
        [this, from, rank, order, isLate] { take(from, rank, order, isLate); });
   }
 
-  /// How long an order waits on the way over the agent of \p rank.
+  /// How long an order waits on the link to the agent of \p rank.
   Duration waitOnLink(unsigned rank) {
     bool isFree = LinkFreeAt[rank] <= Time.now();
-    if (isFree && chance(What.Retransmitted))
+    if (isFree && chance(ActiveFaults.Retransmitted))
       LinkFreeAt[rank] =
           Time.now() + draw(milliseconds(200), milliseconds(300));
     return LinkFreeAt[rank] - Time.now();
   }
 
-  /// The order has come to the host of \p rank.
+  /// Called when the order has reached the host of \p rank.
   void take(const std::shared_ptr<Coordinator> &from, unsigned rank,
             const MapOrder &order, bool isLate) {
     TimePoint wake = wakeTime(rank);
@@ -214,7 +215,7 @@
       return;
     }
     MapOrderReply reply{order.Id, Group.take(rank, order, Time.now())};
-    if (isLate || chance(What.LostReplies))
+    if (isLate || chance(ActiveFaults.LostReplies))
       return;
     at(draw(milliseconds(1), milliseconds(8)), [this, from, rank, reply] {
       deliver(from, [this, from, rank, reply] {
@@ -224,52 +225,52 @@
   }
 
   test::RandomScheduler Time;
-  Faults What;
+  Faults ActiveFaults;
   PlatformGroup Group;
   std::uint64_t Lease = 0;
   std::array<TimePoint, Size> LinkFreeAt{};
   std::vector<std::shared_ptr<Coordinator>> Coordinators;
   unsigned Changes = 0;
-  bool GiverFreezes = false;
-  /// Whether a change has begun since freezeGiver().
+  bool IsSenderToFreeze = false;
+  /// Whether a change has begun since freezeSender().
   bool IsNextChange = false;
-  MapOrderKind GiverKind = MapOrderKind::Arm;
+  MapOrderKind FreezeKind = MapOrderKind::Arm;
   TimePoint LastStepAt;
-  Duration LongestStand{};
+  Duration LongestStall{};
 };
 } // namespace
 
 TEST_CASE("maps change without a held step when nothing goes wrong") {
-  SwitchWorld world(1, {});
-  world.run(seconds(60));
-  CHECK(world.changes() > 30);
-  CHECK(world.group().mixedSteps() == 0);
-  CHECK(world.group().heldSteps() <= world.changes() / 10);
+  SwitchSimulation simulation(1, {});
+  simulation.run(seconds(60));
+  CHECK(simulation.changes() > 30);
+  CHECK(simulation.group().mixedSteps() == 0);
+  CHECK(simulation.group().heldSteps() <= simulation.changes() / 10);
 }
 
-TEST_CASE("a group does not stand for orders that are sent again") {
-  // One data centre of three loses three packets in a hundred: of the orders of
-  // each phase to 63 ranks one or two wait for a retransmission, of 0.2 s at
-  // least. With four ranks one order in five makes that likely.
+TEST_CASE("a group does not stall for orders that are retransmitted") {
+  // One data centre of three loses three percent of its packets: in each phase,
+  // one or two of the orders to 63 ranks wait for a retransmission of at least
+  // 0.2 s. With four ranks, one order in five makes that likely.
   Faults faults;
   faults.Retransmitted = 20;
   unsigned changes = 0;
   unsigned held = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    SwitchWorld world(seed, faults);
-    world.run(seconds(60));
-    CHECK(world.group().mixedSteps() == 0);
-    changes += world.changes();
-    held += world.group().heldSteps();
+    SwitchSimulation simulation(seed, faults);
+    simulation.run(seconds(60));
+    CHECK(simulation.group().mixedSteps() == 0);
+    changes += simulation.changes();
+    held += simulation.group().heldSteps();
   }
   CHECK(changes > 20 * 30);
-  // 0.75; with every copy on the way over the agent 3.0, and 4.0 if besides the
-  // change is for the next step each time.
+  // 0.75 held steps per change. With every copy sent through the agent there
+  // are 3.0, and 4.0 if also every change is armed for the next step.
   CHECK(double(held) / double(changes) < 0.78);
 }
 
-TEST_CASE("no step has two maps while links lose packets and hosts freeze") {
+TEST_CASE("no step uses two maps while links lose packets and hosts freeze") {
   Faults faults;
   faults.Retransmitted = 15;
   faults.LostOrders = 5;
@@ -279,15 +280,15 @@
   unsigned changes = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     INFO("seed " << seed);
-    SwitchWorld world(seed, faults);
-    world.run(seconds(60));
-    CHECK(world.group().mixedSteps() == 0);
-    changes += world.changes();
+    SwitchSimulation simulation(seed, faults);
+    simulation.run(seconds(60));
+    CHECK(simulation.group().mixedSteps() == 0);
+    changes += simulation.changes();
   }
   CHECK(changes > 500);
 }
 
-TEST_CASE("no step has two maps while orders and coordinators fail") {
+TEST_CASE("no step uses two maps while orders and coordinators fail") {
   Faults faults;
   faults.LostOrders = 10;
   faults.LateOrders = 15;
@@ -297,15 +298,15 @@
   unsigned changes = 0;
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
     INFO("seed " << seed);
-    SwitchWorld world(seed, faults);
-    world.run(seconds(60));
-    CHECK(world.group().mixedSteps() == 0);
-    changes += world.changes();
+    SwitchSimulation simulation(seed, faults);
+    simulation.run(seconds(60));
+    CHECK(simulation.group().mixedSteps() == 0);
+    changes += simulation.changes();
   }
   CHECK(changes > 1000);
 }
 
-TEST_CASE("the random runs see it when ranks take orders that come too late") {
+TEST_CASE("the random runs detect ranks that accept late orders") {
   Faults faults;
   faults.LateOrders = 30;
   faults.LostReplies = 10;
@@ -313,68 +314,70 @@
   faults.ChecksFences = false;
   unsigned mixed = 0;
   for (std::uint64_t seed = 1; seed <= 150 && mixed == 0; ++seed) {
-    SwitchWorld world(seed, faults);
-    world.run(seconds(60));
-    mixed += world.group().mixedSteps();
+    SwitchSimulation simulation(seed, faults);
+    simulation.run(seconds(60));
+    mixed += simulation.group().mixedSteps();
   }
   CHECK(mixed > 0);
 }
 
-TEST_CASE("a group is not left held when its coordinator dies") {
+TEST_CASE("a group does not stay held when its coordinators freeze") {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     INFO("seed " << seed);
     Faults faults;
     faults.Freezes = true;
-    SwitchWorld world(seed, faults);
-    world.run(seconds(120));
+    SwitchSimulation simulation(seed, faults);
+    simulation.run(seconds(120));
     // Frozen coordinators are replaced within two seconds, so the group makes
-    // most of its steps; one takes 60 ms at the mean.
-    CHECK(world.group().status(0, TimePoint(std::chrono::hours(2))).Step.get() >
-          900);
+    // most of its steps; a step takes 60 ms on average.
+    CHECK(simulation.group()
+              .status(0, TimePoint(std::chrono::hours(2)))
+              .Step.get() > 900);
   }
 }
 
-TEST_CASE("a group stands for a second at most when its coordinator freezes") {
+TEST_CASE("a group stalls for at most a second when its coordinator freezes") {
   for (MapOrderKind kind : {MapOrderKind::Hold, MapOrderKind::Arm}) {
-    unsigned longStands = 0;
+    unsigned longStalls = 0;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
       INFO("seed " << seed);
-      SwitchWorld world(seed, {});
-      world.run(seconds(5));
-      world.freezeGiver(kind);
-      world.run(seconds(15));
-      CHECK(world.group().mixedSteps() == 0);
-      longStands += world.longestStand() > seconds(1) ? 1 : 0;
-      // Changes go on after it has woken.
-      unsigned before = world.changes();
-      world.run(seconds(10));
-      CHECK(world.changes() > before);
+      SwitchSimulation simulation(seed, {});
+      simulation.run(seconds(5));
+      simulation.freezeSender(kind);
+      simulation.run(seconds(15));
+      CHECK(simulation.group().mixedSteps() == 0);
+      longStalls += simulation.longestStall() > seconds(1) ? 1 : 0;
+      // Changes continue once the host is no longer frozen.
+      unsigned before = simulation.changes();
+      simulation.run(seconds(10));
+      CHECK(simulation.changes() > before);
     }
-    // Later, while every rank but the coordinator's own is armed, nobody could
-    // know whether that one is.
-    CHECK(longStands == 0);
+    // In later phases, while every rank but the coordinator's own is armed,
+    // nobody could know whether that rank is armed.
+    CHECK(longStalls == 0);
   }
 }
 
 namespace {
-/// A switch that knows both ranks of a group.
+/// A coordinator that has received the states of both ranks of a group.
 class TwoRankSwitch {
 public:
   TwoRankSwitch() : Group(2, true) {}
 
-  /// Leads under \p lease and has both ranks answer until nothing is to do.
+  /// Leads under \p lease and lets both ranks reply until nothing is left to
+  /// do.
   void lead(std::uint64_t lease) {
     Switch.lead(lease, 0, Now);
     for (unsigned i = 0; i < 8; ++i)
       report();
   }
 
-  /// Gives the ranks what is in \p actions, and the switch their answers.
-  void give(const SwitchActions &actions) {
+  /// Passes \p actions to the ranks and their replies to the coordinator.
+  void execute(const SwitchActions &actions) {
     for (const SendMapOrder &it : actions) {
       LastFence = std::max(LastFence, it.Order.Fence);
       MapOrderReply reply{it.Order.Id, Group.take(it.Rank, it.Order, Now)};
-      give(Switch.onReply(it.Rank, reply, Now));
+      execute(Switch.onReply(it.Rank, reply, Now));
     }
   }
 
@@ -387,53 +390,55 @@
   void report() {
     Now += milliseconds(60);
     for (unsigned rank = 0; rank < 2; ++rank)
-      give(Switch.onStatus(rank, Group.status(rank, Now), Now, Now));
+      execute(Switch.onStatus(rank, Group.status(rank, Now), Now, Now));
   }
 };
 } // namespace
 
-TEST_CASE("a coordinator that doubted its lease leads on with it") {
-  TwoRankSwitch world;
-  world.lead(1);
-  CHECK(world.Switch.canBegin(world.Now));
-  FencingToken before = world.LastFence;
-  world.Switch.resign();
-  CHECK_FALSE(world.Switch.canBegin(world.Now));
-  world.lead(1);
-  CHECK(world.Switch.isLeading());
-  CHECK(world.Switch.canBegin(world.Now));
-  // What it ordered before is void.
-  CHECK(world.LastFence > before);
+TEST_CASE("a coordinator that doubted its lease can lead again under it") {
+  TwoRankSwitch simulation;
+  simulation.lead(1);
+  CHECK(simulation.Switch.canBegin(simulation.Now));
+  FencingToken before = simulation.LastFence;
+  simulation.Switch.resign();
+  CHECK_FALSE(simulation.Switch.canBegin(simulation.Now));
+  simulation.lead(1);
+  CHECK(simulation.Switch.isLeading());
+  CHECK(simulation.Switch.canBegin(simulation.Now));
+  // Its earlier orders are void.
+  CHECK(simulation.LastFence > before);
 }
 
-TEST_CASE("what a rank was before it started again counts for nothing") {
-  TwoRankSwitch world;
-  world.lead(1);
-  REQUIRE(world.Switch.canBegin(world.Now));
-  // A change is under way as rank 1 starts again, under the same formation.
-  world.Switch.begin(GroupPlacement(2, {{1}}), world.Now);
-  REQUIRE(world.Switch.phase() == SwitchPhase::Preparing);
-  RankStatus reborn = world.Group.status(1, world.Now);
-  reborn.Life = RankLife(1701);
-  reborn.Placement.clear();
-  world.Switch.onStatus(1, reborn, world.Now, world.Now);
-  CHECK(world.Switch.phase() != SwitchPhase::Preparing);
-  CHECK_FALSE(world.Switch.canBegin(world.Now));
-  // Its placement of before is not taken for the present one.
-  CHECK(world.Switch.placement().back().empty());
+TEST_CASE("the state of a rank from before its restart is not used") {
+  TwoRankSwitch simulation;
+  simulation.lead(1);
+  REQUIRE(simulation.Switch.canBegin(simulation.Now));
+  // A change is under way when rank 1 restarts under the same formation.
+  simulation.Switch.begin(GroupPlacement(2, {{1}}), simulation.Now);
+  REQUIRE(simulation.Switch.phase() == SwitchPhase::Preparing);
+  RankStatus restarted = simulation.Group.status(1, simulation.Now);
+  restarted.Life = RankLife(1701);
+  restarted.Placement.clear();
+  simulation.Switch.onStatus(1, restarted, simulation.Now, simulation.Now);
+  CHECK(simulation.Switch.phase() != SwitchPhase::Preparing);
+  CHECK_FALSE(simulation.Switch.canBegin(simulation.Now));
+  // The placement from before the restart is not used.
+  CHECK(simulation.Switch.placement().back().empty());
 }
 
-TEST_CASE("a coordinator that met a higher token never leads under its lease") {
-  TwoRankSwitch world;
-  world.lead(1);
+TEST_CASE(
+    "a coordinator that saw a higher token never leads again under its lease") {
+  TwoRankSwitch simulation;
+  simulation.lead(1);
   MapOrder other;
   other.Formation = FormationEpoch(1);
   other.Fence = FencingToken(~0ULL);
-  world.Group.take(1, other, world.Now);
-  world.give(world.Switch.begin(GroupPlacement(2, {{1}}), world.Now));
-  CHECK_FALSE(world.Switch.isLeading());
-  world.lead(1);
-  CHECK_FALSE(world.Switch.isLeading());
+  simulation.Group.take(1, other, simulation.Now);
+  simulation.execute(
+      simulation.Switch.begin(GroupPlacement(2, {{1}}), simulation.Now));
+  CHECK_FALSE(simulation.Switch.isLeading());
+  simulation.lead(1);
+  CHECK_FALSE(simulation.Switch.isLeading());
 }
 
 TEST_CASE("the rank that is armed last is disarmed first") {
@@ -443,11 +448,11 @@
   MapSwitch coordinator{SwitchLimits()};
   TimePoint now{seconds(100)};
   coordinator.lead(1, Own, now);
-  // Whether the own rank's order to arm was refused, and who was disarmed
-  // since.
+  // Whether the order to arm the coordinator's own rank was refused, and which
+  // ranks were disarmed since then.
   bool isRefused = false;
   std::vector<unsigned> disarmed;
-  std::function<void(const SwitchActions &)> give =
+  std::function<void(const SwitchActions &)> execute =
       [&](const SwitchActions &actions) {
         for (const SendMapOrder &it : actions) {
           bool isOwnArm = it.Order.Kind == MapOrderKind::Arm && it.Rank == Own;
@@ -455,38 +460,40 @@
           if (isRefused && it.Order.Kind == MapOrderKind::Disarm)
             disarmed.push_back(it.Rank);
         }
-        // All orders of one moment are on their way before any is answered.
+        // All orders of one call are in transit before any of them is answered.
         for (const SendMapOrder &it : actions) {
           bool isOwnArm = it.Order.Kind == MapOrderKind::Arm && it.Rank == Own;
           MapOrderResult result = isOwnArm ? MapOrderResult::Refused
                                            : group.take(it.Rank, it.Order, now);
           if (disarmed == std::vector<unsigned>{Own})
             CHECK(group.status(0, now).Armed.has_value());
-          give(coordinator.onReply(it.Rank, {it.Order.Id, result}, now));
+          execute(coordinator.onReply(it.Rank, {it.Order.Id, result}, now));
         }
       };
   for (unsigned i = 0; i < 40 && disarmed.size() < Size; ++i) {
     now += milliseconds(60);
     for (unsigned rank = 0; rank < Size; ++rank)
-      give(coordinator.onStatus(rank, group.status(rank, now), now, now));
+      execute(coordinator.onStatus(rank, group.status(rank, now), now, now));
     if (coordinator.canBegin(now) && !isRefused)
-      give(coordinator.begin(GroupPlacement(Size, {{1}}), now));
+      execute(coordinator.begin(GroupPlacement(Size, {{1}}), now));
   }
   REQUIRE(disarmed.size() == Size);
   CHECK(disarmed.front() == Own);
 }
 
-TEST_CASE("coordinators of two leases never give one version to two maps") {
-  TwoRankSwitch world;
-  world.lead(1);
-  world.give(world.Switch.begin(GroupPlacement(2, {{1}}), world.Now));
-  MapVersion first = world.Switch.version();
-  world.lead(2);
-  REQUIRE(world.Switch.canBegin(world.Now));
-  world.give(world.Switch.begin(GroupPlacement(2, {{0}}), world.Now));
-  CHECK(world.Switch.version() > first);
+TEST_CASE("coordinators of two leases never assign one version to two maps") {
+  TwoRankSwitch simulation;
+  simulation.lead(1);
+  simulation.execute(
+      simulation.Switch.begin(GroupPlacement(2, {{1}}), simulation.Now));
+  MapVersion first = simulation.Switch.version();
+  simulation.lead(2);
+  REQUIRE(simulation.Switch.canBegin(simulation.Now));
+  simulation.execute(
+      simulation.Switch.begin(GroupPlacement(2, {{0}}), simulation.Now));
+  CHECK(simulation.Switch.version() > first);
 }
-TEST_CASE("no change begins while a rank's placement is not known") {
+TEST_CASE("no change begins while a rank's placement is unknown") {
   PlatformGroup group(2, true);
   MapSwitch coordinator{SwitchLimits()};
   TimePoint now{seconds(100)};
--- a/unittests/Experts/PlacementPlannerTest.cpp
+++ b/unittests/Experts/PlacementPlannerTest.cpp
@@ -1,7 +1,7 @@
 //===- PlacementPlannerTest.cpp - plans for groups of ranks ---------------===//
 //
-// Plans keep every expert somewhere, stay inside their bounds, and even out a
-// skewed demand.
+// Plans keep every expert on some rank, respect their limits and even out an
+// imbalanced demand.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,8 +19,8 @@
 static constexpr std::size_t Sets = 6;
 static constexpr std::size_t Experts = 64;
 
-/// Experts dealt in turn, as the platform's first map does.
-static GroupPlacement dealt() {
+/// Experts assigned in turn, as in the platform's first map.
+static GroupPlacement makeInitialMap() {
   GroupPlacement out(Ranks, RankPlacement(Sets));
   for (std::size_t set = 0; set < Sets; ++set)
     for (std::size_t it = 0; it < Experts; ++it)
@@ -29,7 +29,7 @@
 }
 
 /// A demand in which few experts are popular.
-static std::vector<double> skewed(std::uint64_t seed) {
+static std::vector<double> makeSkewedDemand(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::vector<double> out;
   for (std::size_t i = 0; i < Sets * Experts; ++i)
@@ -37,7 +37,7 @@
   return out;
 }
 
-/// New experts of each rank in one set.
+/// Number of experts that are new to a rank in one set.
 static std::size_t countNew(const std::vector<ExpertNumber> &before,
                             const std::vector<ExpertNumber> &after) {
   return std::size_t(
@@ -46,12 +46,13 @@
       }));
 }
 
-TEST_CASE("a placement plan evens the demand out within its bounds") {
+TEST_CASE("a placement plan balances the load within its limits") {
   PlacementLimits limits{11, 4, 3, 0.04};
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     INFO("seed " << seed);
-    GroupPlacement before = dealt();
-    PlacementPlan plan = PlacementPlanner(limits).plan(before, skewed(seed));
+    GroupPlacement before = makeInitialMap();
+    PlacementPlan plan =
+        PlacementPlanner(limits).plan(before, makeSkewedDemand(seed));
     CHECK(plan.SkewAfter < plan.SkewBefore);
     for (std::size_t set = 0; set < Sets; ++set) {
       std::set<ExpertNumber> held;
@@ -73,10 +74,10 @@
   }
 }
 
-TEST_CASE("repeated plans come close to even and then stay") {
+TEST_CASE("repeated plans come close to balance and then stop") {
   PlacementPlanner planner({11, 4, 3, 0.04});
-  std::vector<double> demand = skewed(3);
-  GroupPlacement present = dealt();
+  std::vector<double> demand = makeSkewedDemand(3);
+  GroupPlacement present = makeInitialMap();
   PlacementPlan plan;
   for (int i = 0; i < 12; ++i) {
     plan = planner.plan(present, demand);
@@ -86,19 +87,19 @@
   CHECK(planner.plan(present, demand).Copies == 0);
 }
 
-TEST_CASE("a demand of nothing needs no copies") {
+TEST_CASE("no demand causes no copies") {
   PlacementPlanner planner({11, 4, 3, 0.04});
   std::vector<double> none(Sets * Experts, 0.0);
-  CHECK(planner.plan(dealt(), none).Copies == 0);
+  CHECK(planner.plan(makeInitialMap(), none).Copies == 0);
 }
 
-TEST_CASE("a slow rank bears less than the others") {
+TEST_CASE("a slow rank gets less load than the others") {
   PlacementLimits limits{11, 4, 3, 0.04};
   std::vector<double> paces(Ranks, 1.0);
   constexpr unsigned Slow = 3;
   paces[Slow] = 5;
-  GroupPlacement present = dealt();
-  std::vector<double> demand = skewed(1);
+  GroupPlacement present = makeInitialMap();
+  std::vector<double> demand = makeSkewedDemand(1);
   PlacementPlanner planner(limits);
   PlacementPlan plan = planner.plan(present, demand, paces);
   double before = plan.SkewBefore;
@@ -113,7 +114,7 @@
     for (const RankPlacement &rank : plan.Placement)
       held.insert(rank[set].begin(), rank[set].end());
     CHECK(held.size() == Experts);
-    // It gave up what others hold, too.
+    // The slow rank has dropped experts that other ranks also hold.
     CHECK(plan.Placement[Slow][set].size() <= Experts / Ranks);
   }
 }
