--- a/include/ospreyspur/Http/CallerApi.h
+++ b/include/ospreyspur/Http/CallerApi.h
@@ -1,7 +1,8 @@
-//===- CallerApi.h - what callers send and get ------------------*- C++ -*-===//
+//===- CallerApi.h - requests and responses of callers ----------*- C++ -*-===//
 //
-// Turns an HTTP request into a CallerRequest and results into HTTP answers.
-// Pure functions; docs/API.md describes the same for callers.
+// Converts HTTP requests to CallerRequests, and result codes and tickets to
+// HTTP responses. The functions have no side effects; docs/API.md documents the
+// same interface for callers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,19 +23,20 @@
 inline constexpr char OutcomeHeader[] = "Ospreyspur-Outcome";
 inline constexpr char IdempotencyHeader[] = "Idempotency-Key";
 
-/// Reads a caller's request; the id is left for the caller of this function.
+/// Parses a caller's request, except for the id, which the caller of this
+/// function sets.
 /// Errors: Unauthorized, NotFound, BadRequest, BadTicket, UnknownService.
 Result<CallerRequest> parseCallerRequest(const HttpRequest &request,
                                          const RoutingSnapshot &snapshot,
                                          Duration defaultDeadline);
 
-/// The body that says \p code to a caller.
+/// Returns the JSON body that reports \p code to a caller.
 std::string formatErrorBody(ResultCode code);
 
 /// The whole response that says \p code; Retry-After if \p retryAfter is set.
 HttpResponse makeErrorResponse(ResultCode code, Duration retryAfter);
 
-/// The response that hands out \p ticket.
+/// Returns the response that carries \p ticket.
 HttpResponse makeTicketResponse(const Ticket &ticket);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Http/EndpointPool.h
+++ b/include/ospreyspur/Http/EndpointPool.h
@@ -1,7 +1,8 @@
-//===- EndpointPool.h - kept connections to endpoints -----------*- C++ -*-===//
+//===- EndpointPool.h - idle connections to endpoints -----------*- C++ -*-===//
 //
-// One request at a time uses a connection. It is kept afterwards only if
-// nothing is left on it, and given up well before the endpoint would close it.
+// A connection is used by one request at a time. Afterwards the connection is
+// kept only if no data is left on it, and it is closed well before the endpoint
+// would close it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,7 +29,7 @@
 
   boost::beast::tcp_stream Stream;
   boost::beast::flat_buffer Buffer;
-  /// When an unused connection is given up.
+  /// When the connection is closed if no request uses it.
   TimePoint KeepUntil;
 };
 
@@ -37,24 +38,26 @@
 public:
   using Connection = std::unique_ptr<EndpointConnection>;
 
-  /// Kept connections of one endpoint.
+  /// Largest number of idle connections to one endpoint.
   static constexpr std::size_t MaxKept = 8;
-  /// How long an unused connection is kept if the endpoint does not say.
+  /// How long an idle connection is kept if the endpoint states no time.
   static constexpr Duration DefaultKeep = std::chrono::seconds(2);
-  /// How much earlier than the endpoint a connection is given up.
+  /// How much earlier than the endpoint this side closes an idle connection.
   static constexpr Duration KeepMargin = std::chrono::milliseconds(1500);
 
   explicit EndpointPool(boost::asio::io_context &ioc) : Context(ioc) {}
 
-  /// A kept connection; null if there is none that still stands.
+  /// Removes and returns an idle connection to the endpoint \p id; null if none
+  /// is open and within its time.
   Connection takeKept(const EndpointId &id, TimePoint now);
-  /// A new connection; null if it is not made within \p timeout.
+  /// Opens a new connection; null if connecting fails or exceeds \p timeout.
   boost::asio::awaitable<Connection> connect(TcpAddress address,
                                              Duration timeout);
-  /// Keeps \p connection for later.
+  /// Keeps \p connection for later requests. \p keepAlive is the time for which
+  /// the endpoint keeps an idle connection open, if it states one.
   void keep(const EndpointId &id, Connection connection,
             std::optional<Duration> keepAlive, TimePoint now);
-  /// Closes what has been unused too long.
+  /// Closes connections that have been idle for too long.
   void closeUnused(TimePoint now);
 
 private:
--- a/include/ospreyspur/Http/HeaderValues.h
+++ b/include/ospreyspur/Http/HeaderValues.h
@@ -1,6 +1,7 @@
 //===- HeaderValues.h - all values of one header ----------------*- C++ -*-===//
 //
-// For headers that may stand in a message once only: a second value shows.
+// For headers that may occur only once in a message: callers can detect a
+// second value.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +16,7 @@
 
 namespace ospreyspur {
 
-/// The values of the headers called \p name in \p fields.
+/// Returns the values of all headers called \p name in \p fields.
 inline std::vector<std::string>
 headerValues(const boost::beast::http::fields &fields, std::string_view name) {
   std::vector<std::string> out;
--- a/include/ospreyspur/Http/HttpClient.h
+++ b/include/ospreyspur/Http/HttpClient.h
@@ -1,8 +1,9 @@
 //===- HttpClient.h - HTTP requests to one address --------------*- C++ -*-===//
 //
-// Two ways to ask: call() on kept connections for short exchanges that the
-// caller can repeat or settle, and run() on a connection of its own for
-// requests whose fate matters: only there can "never sent" be told from "lost".
+// call() reuses idle connections, for short exchanges that the caller can retry
+// or resolve in another way. run() opens a new connection for each request, for
+// requests whose fate matters: only on a new connection can the client tell
+// "never sent" from "lost".
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,21 +24,22 @@
 
 namespace ospreyspur {
 
-/// Whether a request may be sent a second time.
+/// Whether call() may send a request a second time.
 enum class Repetition : std::uint8_t {
   Never,
-  /// It does no harm to send it again at once: on a new connection, if a kept
-  /// one ended without a byte of an answer.
+  /// The request is sent again at once on a new connection if an idle
+  /// connection closed before the first byte of the response. For requests that
+  /// are safe to send twice.
   AfterLostConnection,
 };
 
-/// The head of a streamed answer.
+/// Status and headers of a streamed response.
 struct HttpRunHead {
   unsigned Status = 0;
   const boost::beast::http::fields &Fields;
 };
 
-/// Receives a streamed answer.
+/// Receives a streamed response.
 struct HttpSink {
   std::function<void(const HttpRunHead &)> OnHead;
   std::function<void(std::string_view data)> OnData;
@@ -60,17 +62,17 @@
 public:
   HttpClient(boost::asio::io_context &ioc, TcpAddress server);
 
-  /// Sends \p request and reads the whole answer. Errors: PlatformRefused (the
-  /// request was not sent) or PlatformTimeout (it may have arrived).
+  /// Sends \p request and reads the complete response. Errors: PlatformRefused
+  /// (the request was not sent) or PlatformTimeout (it may have arrived).
   boost::asio::awaitable<Result<HttpResponse>>
   call(HttpRequest request, Duration timeout,
        Repetition repetition = Repetition::Never);
 
-  /// Sends \p request on a connection of its own and streams the answer into
-  /// \p sink. Ok if the answer came whole; EndpointUnreachable if the
-  /// connection was never made; EndpointFailed if the server closed or reset it
-  /// before the answer was whole; AnswerBroken otherwise. \p idle bounds each
-  /// wait.
+  /// Sends \p request on a new connection and streams the response to \p sink.
+  /// Returns Ok if the response was complete, EndpointUnreachable if the
+  /// connection was never established, EndpointFailed if the server closed or
+  /// reset the connection before the response was complete, and AnswerBroken
+  /// otherwise. \p idle is the timeout of each wait for the server.
   boost::asio::awaitable<ResultCode> run(HttpRequest request, HttpSink sink,
                                          std::shared_ptr<HttpRunHandle> handle,
                                          Duration idle);
--- a/include/ospreyspur/Http/HttpExchange.h
+++ b/include/ospreyspur/Http/HttpExchange.h
@@ -1,7 +1,7 @@
-//===- HttpExchange.h - one request and its answer --------------*- C++ -*-===//
+//===- HttpExchange.h - one request and its response ------------*- C++ -*-===//
 //
-// What a request handler of HttpServer works on: the request, and the ways to
-// answer it, whole or piece by piece.
+// The interface of HttpServer to a request handler: the request, and functions
+// that send a response, either complete or as a stream.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 namespace ospreyspur {
 
 /// One request on a connection. Functions that write return false once the
-/// client is gone.
+/// client has disconnected or does not read in time.
 class HttpExchange {
 public:
   HttpExchange(boost::beast::tcp_stream &stream, const HttpRequest &request,
@@ -30,45 +30,47 @@
   HttpExchange &operator=(const HttpExchange &) = delete;
   ~HttpExchange();
 
-  /// The request, with its whole body.
+  /// The request, with its complete body.
   const HttpRequest &request() const { return Request; }
 
-  /// The value of header \p name, empty if absent.
+  /// Returns the value of header \p name; empty if absent.
   std::string header(std::string_view name) const;
 
-  /// Answers with a whole response.
+  /// Sends a complete response.
   boost::asio::awaitable<bool> respond(HttpResponse response);
 
-  /// Answers with \p body; \p contentType as in the header.
+  /// Sends a complete response with \p body; \p contentType is the value of the
+  /// Content-Type header.
   boost::asio::awaitable<bool>
   respond(unsigned status, std::string_view contentType, std::string body);
 
-  /// Begins an answer whose length is not known.
+  /// Begins a streamed response of unknown length.
   boost::asio::awaitable<bool> beginStream(unsigned status,
                                            std::string_view contentType);
-  /// Begins an answer whose length is not known with the status and headers of
-  /// \p head.
+  /// Begins a streamed response of unknown length with the status and headers
+  /// of \p head.
   boost::asio::awaitable<bool> beginStream(const HttpResponse &head);
   /// Calls \p onHangUp once if the client closes its connection before the
-  /// handler has ended. A client that has sent more than this request is not
-  /// watched.
+  /// handler has returned. A client that has sent data after this request is
+  /// not watched.
   void watchHangUp(std::function<void()> onHangUp);
-  /// Adds to a streamed answer.
+  /// Sends a part of a streamed response.
   boost::asio::awaitable<bool> writeStream(std::string data);
-  /// Ends a streamed answer as whole.
+  /// Marks the end of a complete streamed response.
   boost::asio::awaitable<bool> endStream();
-  /// Makes the connection close without ending the answer, so that the client
-  /// sees it as cut.
+  /// Closes the connection after the handler returns, without marking the end
+  /// of the response, so that the client detects that the response is
+  /// incomplete.
   void cut() { MustClose = true; }
-  /// Makes the answer ask the client to close the connection. Call before the
-  /// answer begins.
+  /// Sends "Connection: close" with the response. Must be called before the
+  /// response begins.
   void closeAfterAnswer() { MustClose = true; }
 
   bool mustClose() const { return MustClose; }
   bool hasBegun() const { return HasBegun; }
 
 private:
-  /// Outlives the exchange, as the wait for the socket may.
+  /// Shared with the wait for the socket, which may outlive the exchange.
   struct HangUpWatch {
     bool IsOn = true;
     std::function<void()> OnHangUp;
--- a/include/ospreyspur/Http/HttpServer.h
+++ b/include/ospreyspur/Http/HttpServer.h
@@ -1,7 +1,7 @@
 //===- HttpServer.h - accepts HTTP connections ------------------*- C++ -*-===//
 //
-// Reads requests within limits and hands each to a handler coroutine. All runs
-// on the thread of the given io_context.
+// Reads requests within limits and passes each to a handler coroutine. All code
+// runs on the thread of the given io_context.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,7 @@
 
 namespace ospreyspur {
 
-/// Answers one request.
+/// Handles one request and sends the response.
 using HttpHandler = std::function<boost::asio::awaitable<void>(HttpExchange &)>;
 
 /// An HTTP/1.1 server on one address.
@@ -26,31 +26,31 @@
   HttpServer(boost::asio::io_context &ioc, HttpLimits limits,
              HttpHandler handler);
 
-  /// Takes the address without accepting yet. Errors: SettingInvalid.
+  /// Binds to the address without listening. Errors: SettingInvalid.
   Result<void> bind(const TcpAddress &address);
 
-  /// From now on connections wait until they are accepted; before, they are
-  /// turned away. Errors: SettingInvalid.
+  /// Starts to listen: the kernel queues new connections until they are
+  /// accepted, and refuses them before this call. Errors: SettingInvalid.
   Result<void> beginQueueing();
 
-  /// Begins to accept on the bound address. Errors: SettingInvalid.
+  /// Starts to accept connections on the bound address. Errors: SettingInvalid.
   Result<void> beginAccepting();
 
   /// bind(), then beginAccepting().
   Result<void> listen(const TcpAddress &address);
 
-  /// Bounds for what is read from now on.
+  /// Sets the limits that apply from now on.
   void setLimits(const HttpLimits &limits);
 
-  /// From now on every answer asks its client to close the connection.
+  /// Sends "Connection: close" with every response from now on.
   void closeAfterAnswers();
 
-  /// Accepts no connections but those that clients have opened by now, and
-  /// closes those that rest between two requests.
+  /// Accepts the connections that clients have already opened, then no more,
+  /// and closes connections that are idle between two requests.
   void stopAccepting();
 
-  /// Number of connections with a request begun or answered, or still without
-  /// their first request.
+  /// Number of connections that have a request being read or handled or that
+  /// have not received their first request yet.
   std::size_t busyCount() const;
 
 private:
--- a/include/ospreyspur/Http/HttpTypes.h
+++ b/include/ospreyspur/Http/HttpTypes.h
@@ -1,4 +1,4 @@
-//===- HttpTypes.h - HTTP vocabulary shared by both sides -------*- C++ -*-===//
+//===- HttpTypes.h - types of the HTTP client and server --------*- C++ -*-===//
 //
 // Aliases for the Beast types in use, and limits.
 //
@@ -20,14 +20,15 @@
 using HttpResponse =
     boost::beast::http::response<boost::beast::http::string_body>;
 
-/// Bounds on what a client may send.
+/// Limits on clients.
 struct HttpLimits {
   std::size_t MaxHeaderBytes = 16U << 10U;
   std::size_t MaxBodyBytes = 1U << 20U;
   std::size_t MaxConnections = 4096;
-  /// Time to send a whole request, from the first byte waited for.
+  /// Time limit for reading a complete request, including the wait for the
+  /// first byte.
   Duration ReadTimeout = std::chrono::seconds(15);
-  /// Time for a client to take what is written to it.
+  /// Time limit for each write to a client.
   Duration WriteTimeout = std::chrono::seconds(10);
 };
 
--- a/include/ospreyspur/Http/Mailbox.h
+++ b/include/ospreyspur/Http/Mailbox.h
@@ -1,7 +1,7 @@
-//===- Mailbox.h - hands events to a waiting coroutine ----------*- C++ -*-===//
+//===- Mailbox.h - passes events to a waiting coroutine ---------*- C++ -*-===//
 //
 // A queue between a state machine and the coroutine that writes to one client.
-// Both run on one thread, so there is no lock.
+// Both run on one thread, so the queue has no lock.
 //
 //===----------------------------------------------------------------------===//
 
--- a/include/ospreyspur/Rpc/Codec.h
+++ b/include/ospreyspur/Rpc/Codec.h
@@ -1,6 +1,6 @@
-//===- Codec.h - messages to and from their wire form -----------*- C++ -*-===//
+//===- Codec.h - encodes and decodes messages -------------------*- C++ -*-===//
 //
-// Converts between the nodes' typed messages and the protobuf ones.
+// Converts between the typed messages of Messages.h and their protobuf form.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,13 +18,15 @@
 class Message;
 } // namespace wire
 
-/// Writes \p message into \p out.
+/// Encodes \p message into \p out.
 void encode(const Message &message, wire::Message &out);
 
-/// How many bytes \p message takes on the wire, without a link's framing.
+/// Returns the encoded size of \p message in bytes, without the framing of a
+/// link.
 std::size_t sizeOf(const Message &message);
 
-/// Reads \p in; nothing if it is of a kind that this version does not know.
+/// Decodes \p in. Returns nothing if this version does not know the kind of the
+/// message or if a field that is checked has an invalid value.
 std::optional<Message> decode(const wire::Message &in);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Rpc/LinkWriter.h
+++ b/include/ospreyspur/Rpc/LinkWriter.h
@@ -1,7 +1,8 @@
 //===- LinkWriter.h - batches messages onto one stream ----------*- C++ -*-===//
 //
-// gRPC allows one write at a time on a stream. What is sent meanwhile collects
-// in one envelope, so that a busy link carries many messages in each write.
+// gRPC allows one write at a time on a stream. Messages that are sent while a
+// write is in progress are collected in one envelope, so that a busy link
+// carries many messages in each write.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,16 +19,16 @@
 
 namespace ospreyspur {
 
-/// Bytes that may wait on one link before the peer counts as too slow.
+/// Bytes that may be queued on one link before the peer is treated as too slow.
 inline constexpr std::size_t MaxPendingLinkBytes = 32U << 20U;
 
-/// The outgoing side of one stream. \p Reactor is gRPC's reactor.
+/// The sending side of one stream. \p Reactor is the stream's gRPC reactor.
 template <typename Reactor> class LinkWriter {
 public:
   explicit LinkWriter(Reactor &reactor) : Stream(reactor) {}
 
-  /// Sends \p message, now or with the next envelope. False if the link has
-  /// closed or the peer is too slow.
+  /// Sends \p message now or with the next envelope. Returns false if the link
+  /// has closed or the peer is too slow.
   bool send(const Message &message) {
     std::lock_guard lock(Mutex);
     if (IsClosed || PendingBytes > MaxPendingLinkBytes)
@@ -39,7 +40,7 @@
     return true;
   }
 
-  /// Call from OnWriteDone.
+  /// Must be called from the reactor's OnWriteDone.
   void onWriteDone(bool isOk) {
     std::lock_guard lock(Mutex);
     IsWriting = false;
@@ -49,7 +50,7 @@
       IsClosed = true;
   }
 
-  /// After this nothing is written any more.
+  /// Starts no further writes after this call.
   void close() {
     std::lock_guard lock(Mutex);
     IsClosed = true;
--- a/include/ospreyspur/Rpc/LoadCodec.h
+++ b/include/ospreyspur/Rpc/LoadCodec.h
@@ -1,6 +1,6 @@
 //===- LoadCodec.h - load reports as datagrams ------------------*- C++ -*-===//
 //
-// One report fits one datagram.
+// Each report is sent as a single datagram.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,27 +18,30 @@
 
 namespace ospreyspur {
 
-/// What one entry has at the endpoints.
+/// One entry's report to the other entries about the endpoints.
 struct LoadReport {
   std::string Node;
   std::vector<EndpointLoad> Loads;
-  /// Requests under which endpoints ended.
+  /// Requests that were running when endpoints crashed.
   CrashReport Crashes;
-  /// Lives of endpoints that have ended: their addresses have another one.
+  /// Incarnations of endpoints that have exited; another incarnation is now at
+  /// the address of each.
   std::vector<LifeDigest> Replaced{};
-  /// Rates that endpoints named.
+  /// Rate limits that endpoints advertised.
   std::vector<RateLimitRow> Rates{};
-  /// Lives of endpoints that said that they leave.
+  /// Incarnations of endpoints that reported that they are leaving.
   std::vector<LifeDigest> Leaving{};
-  /// Whether the entry has just begun and asks for the others' rows.
+  /// Whether the entry has just started and asks the other entries for their
+  /// records.
   bool IsNew = false;
   /// Whether the entry has no callers.
   bool IsIdle = false;
 };
 
+/// Returns \p report in its wire form.
 std::string encodeLoad(const LoadReport &report);
 
-/// The report in \p bytes; nothing if it cannot be read.
+/// Decodes the report in \p bytes; returns nothing if they cannot be parsed.
 std::optional<LoadReport> decodeLoad(std::string_view bytes);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Rpc/Messages.h
+++ b/include/ospreyspur/Rpc/Messages.h
@@ -1,7 +1,7 @@
-//===- Messages.h - what our processes say to each other --------*- C++ -*-===//
+//===- Messages.h - messages between processes ------------------*- C++ -*-===//
 //
-// The typed messages that the nodes take and give. Codec.h turns them into the
-// wire form; the nodes never see that form.
+// The typed messages that the nodes receive and send. Codec.h converts between
+// these and the wire form, which the nodes never handle.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,37 +23,40 @@
 
 namespace ospreyspur {
 
-/// Entry to agent: would you take a request now? Costs the agent no record.
+/// Entry to agent: asks whether the endpoint would accept a request now. The
+/// agent keeps no ledger record for a probe.
 struct Probe {
   CallId Call;
   WorkspaceId Workspace;
-  /// How long the ticket in the answer stays usable.
+  /// How long the ticket in the reply stays valid.
   Duration ValidFor{};
-  /// Hash of the prompt's first block; 0 for none.
+  /// Hash of the first block of the prompt; 0 if there is no prompt.
   std::uint64_t Prefix = 0;
   std::uint32_t Priority = 0;
-  /// Time left until the caller's deadline; zero if that does not matter.
+  /// Time left until the caller's deadline; zero if the deadline is to be
+  /// ignored.
   Duration Deadline{};
 };
 
-/// Agent to entry: an estimate, and a ticket if the code is Ok.
+/// Agent to entry: the estimated wait, and a ticket if the code is Ok.
 struct ProbeReply {
   CallId Call;
   ResultCode Code = ResultCode::Ok;
   /// Expected time until the first token.
   Duration Wait{};
-  /// Requests that run or wait at the endpoint.
+  /// Requests that are running or queued at the endpoint.
   std::uint32_t Load = 0;
-  /// When to ask again, if not accepting.
+  /// When to probe again, if the endpoint does not accept the request.
   Duration RetryAfter{};
   Ticket Permit;
 };
 
-/// Entry to agent: run this request, or attach to it if it is known already.
+/// Entry to agent: starts a request, or attaches to it if the agent already has
+/// it.
 struct Dispatch {
   Ticket Permit;
   AttemptNumber Attempt;
-  /// The offset from which the entry still needs the answer.
+  /// Offset of the first byte of the response that the entry still needs.
   std::uint64_t ResumeFrom = 0;
   /// Time left until the caller's deadline.
   Duration Deadline{};
@@ -65,25 +68,26 @@
   std::string Body;
 };
 
-/// Entry to agent: did this request start? If not, it never will.
+/// Entry to agent: asks whether this request has started. If it has not, the
+/// agent will never start it.
 struct Resolve {
   Ticket Permit;
 };
 
-/// Entry to agent: nobody waits for this answer any more.
+/// Entry to agent: no caller waits for this response any more.
 struct Cancel {
   RequestId Id;
   AttemptNumber Attempt;
 };
 
-/// Agent to entry: the request is queued, runs, or has run.
+/// Agent to entry: the request is queued, is running, or has run.
 struct Accepted {
   RequestId Id;
   AttemptNumber Attempt;
 };
 
-/// Agent to entry: the request did not run and never will with this ticket,
-/// unless the code's outcome is Unknown.
+/// Agent to entry: the request did not run and will never run with this ticket,
+/// unless the outcome of the code is Unknown.
 struct Refused {
   RequestId Id;
   AttemptNumber Attempt;
@@ -91,7 +95,7 @@
   Duration RetryAfter{};
 };
 
-/// Agent to entry: the head of the endpoint's answer.
+/// Agent to entry: status and content type of the endpoint's response.
 struct Head {
   RequestId Id;
   AttemptNumber Attempt;
@@ -99,7 +103,7 @@
   std::string ContentType;
 };
 
-/// Agent to entry: a piece of the answer's body.
+/// Agent to entry: a part of the response body.
 struct Chunk {
   RequestId Id;
   AttemptNumber Attempt;
@@ -107,27 +111,29 @@
   std::string Data;
 };
 
-/// Agent to entry: the answer ends at \c Length, whole if the code is Ok.
+/// Agent to entry: the response ends at \c Length and is complete if the code
+/// is Ok.
 struct Finish {
   RequestId Id;
   AttemptNumber Attempt;
   std::uint64_t Length = 0;
   ResultCode Code = ResultCode::Ok;
-  /// Which of the endpoint's lives that the agent has seen ran it.
+  /// The endpoint's incarnation that ran the request, as counted by the agent.
   EngineLife Life{};
 };
 
-/// What an agent knows of a request.
+/// What an agent knows about a request.
 enum class RunState : std::uint8_t {
-  /// Did not start, and now never will.
+  /// The request has not started and will never start.
   NeverStarts,
-  /// Queued, running, or finished and kept.
+  /// The request is queued, running, or finished with its record kept.
   Known,
-  /// Belongs to an earlier incarnation, or the record is no longer kept.
+  /// The request belongs to an earlier incarnation, or its record is no longer
+  /// kept.
   CannotTell,
 };
 
-/// Agent to entry: the answer to Resolve.
+/// Agent to entry: the reply to Resolve.
 struct ResolveReply {
   RequestId Id;
   RunState State = RunState::CannotTell;
@@ -138,17 +144,17 @@
   bool IsLeaving = false;
 };
 
-/// Entry to agent: the entry has taken note of Leaving and sends no new
-/// request; what it sent before has arrived, as links keep the order.
+/// Entry to agent: acknowledges Leaving. The entry sends no new requests. All
+/// earlier ones have arrived, because links preserve the order of messages.
 struct LeavingSeen {};
 
-/// Entry to agent: a crash report, which also subscribes the entry to those of
-/// the others. Agent to entry: another entry's report, or the agent's own rows
-/// to a new subscriber.
+/// Entry to agent: a crash report, which also subscribes the entry to the
+/// reports of the other entries. Agent to entry: another entry's report, or the
+/// agent's own records for a new subscriber.
 struct CrashUpdate {
-  /// The reporting entry; empty for an agent's rows.
+  /// The reporting entry; empty for an agent's own records.
   std::string Sender;
-  /// The agent's subscribers; 0 from an entry.
+  /// Number of the agent's subscribers; 0 from an entry.
   std::uint32_t Entries = 0;
   CrashReport Report;
 };
--- a/include/ospreyspur/Rpc/PeerClient.h
+++ b/include/ospreyspur/Rpc/PeerClient.h
@@ -1,7 +1,7 @@
-//===- PeerClient.h - a link to another of our processes --------*- C++ -*-===//
+//===- PeerClient.h - a link to a peer process ------------------*- C++ -*-===//
 //
-// The dialling side of the peer protocol: one long-lived link, opened on first
-// use and again on the next send after it was lost.
+// The connecting side of the peer protocol: one long-lived link. The first send
+// opens the link, and the first send after a loss reopens it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,10 +17,10 @@
 
 namespace ospreyspur {
 
-/// What a PeerClient reports; called on gRPC's threads.
+/// Callbacks of a PeerClient; they run on gRPC's threads.
 struct PeerClientHandlers {
   std::function<void(std::vector<Message>)> OnMessages;
-  /// The link is gone; what was sent on it may not have arrived.
+  /// The link has closed; messages sent on it may not have arrived.
   std::function<void()> OnDown;
 };
 
@@ -28,11 +28,12 @@
 class PeerClient {
 public:
   PeerClient(std::string address, PeerClientHandlers handlers);
-  /// Closes the link; no handler is called afterwards, but for an OnDown that
-  /// is under way. Must not run on gRPC's threads.
+  /// Closes the link. No handler is called afterwards, except that a call of
+  /// OnDown already in progress may still run. Must not be called on gRPC's
+  /// threads.
   ~PeerClient();
 
-  /// Sends \p message, opening the link if need be. A message that cannot be
+  /// Sends \p message and opens the link if necessary. A message that cannot be
   /// sent is dropped and reported by OnDown.
   void send(const Message &message);
 
--- a/include/ospreyspur/Rpc/PeerServer.h
+++ b/include/ospreyspur/Rpc/PeerServer.h
@@ -1,4 +1,4 @@
-//===- PeerServer.h - accepts links from our processes ----------*- C++ -*-===//
+//===- PeerServer.h - accepts links from peer processes ---------*- C++ -*-===//
 //
 // The listening side of the peer protocol. Handlers run on gRPC's threads.
 //
@@ -17,7 +17,7 @@
 
 namespace ospreyspur {
 
-/// What a PeerServer reports; called on gRPC's threads.
+/// Callbacks of a PeerServer; they run on gRPC's threads.
 struct PeerServerHandlers {
   std::function<void(LinkId, std::vector<Message>)> OnMessages;
   std::function<void(LinkId)> OnLinkDown;
@@ -32,7 +32,7 @@
   /// Listens on \p address ("ip:port"). Errors: SettingInvalid.
   Result<void> listen(const std::string &address);
 
-  /// Sends on a link; a message for a link that is gone is dropped.
+  /// Sends \p message on \p link; drops the message if the link has closed.
   void send(LinkId link, const Message &message);
 
   /// Closes all links.
--- a/lib/Http/CallerApi.cpp
+++ b/lib/Http/CallerApi.cpp
@@ -1,6 +1,6 @@
-//===- CallerApi.cpp - reading requests, writing answers ------------------===//
+//===- CallerApi.cpp - parses requests, builds responses ------------------===//
 //
-// Models are named in the JSON body, plain services in the path.
+// The JSON body names a model; the path names a plain service.
 //
 //===----------------------------------------------------------------------===//
 
@@ -51,29 +51,29 @@
   return std::max<std::uint64_t>(1, boost::hash<std::string>()(text));
 }
 
-/// Takes the service's name from the JSON body.
+/// Reads the service name from the JSON body.
 static Result<void> readModelBody(const HttpRequest &request,
                                   CallerRequest &out) {
   boost::system::error_code ec;
   json::value body = json::parse(request.body(), ec);
   const json::object *top = ec ? nullptr : body.if_object();
   if (!top)
-    return Error{ResultCode::BadRequest, "the body is no JSON object"};
+    return Error{ResultCode::BadRequest, "the body is not a JSON object"};
   const json::value *model = top->if_contains("model");
   if (!model || !model->is_string())
-    return Error{ResultCode::BadRequest, "the body names no model"};
+    return Error{ResultCode::BadRequest, "the body has no \"model\" string"};
   out.Service = ServiceId(std::string(model->get_string()));
   out.Prefix = hashPrefix(*top);
   return boost::outcome_v2::success();
 }
 
-/// Takes the service's name from the path and cuts it off the target.
+/// Reads the service name from the path and removes it from the target.
 static Result<void> readServicePath(CallerRequest &out) {
   std::string rest = out.Target.substr(ServicesPrefix.size());
   std::size_t end = rest.find_first_of("/?");
   std::string name = rest.substr(0, end);
   if (name.empty())
-    return Error{ResultCode::BadRequest, "the path names no service"};
+    return Error{ResultCode::BadRequest, "the path has no service name"};
   out.Service = ServiceId(name);
   out.Target = end == std::string::npos ? "/" : rest.substr(end);
   if (out.Target.front() == '?')
@@ -103,12 +103,13 @@
     return boost::outcome_v2::success();
   if (out.IdempotencyKey)
     return Error{ResultCode::BadRequest,
-                 "a ticket and an idempotency key exclude each other"};
+                 "a ticket and an idempotency key cannot be combined"};
   Result<Ticket> parsed = parseTicket(ticket);
   if (!parsed)
     return parsed.error();
   if (parsed.value().Workspace != out.Workspace)
-    return Error{ResultCode::BadTicket, "the ticket is another workspace's"};
+    return Error{ResultCode::BadTicket,
+                 "the ticket belongs to another workspace"};
   out.CallerTicket = parsed.value();
   return boost::outcome_v2::success();
 }
--- a/lib/Http/EndpointPool.cpp
+++ b/lib/Http/EndpointPool.cpp
@@ -1,4 +1,4 @@
-//===- EndpointPool.cpp - kept connections to endpoints -------------------===//
+//===- EndpointPool.cpp - idle connections to endpoints -------------------===//
 //
 // See EndpointPool.h.
 //
@@ -18,11 +18,11 @@
 namespace asio = boost::asio;
 
 static constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-/// Unacknowledged bytes end a connection after this time: a host without power
-/// says nothing.
+/// A connection whose data stays unacknowledged for this time is closed,
+/// because a host that has lost power closes nothing itself.
 static constexpr int UserTimeoutMs = 4000;
 
-/// Whether nothing has come on an unused connection, not even its end.
+/// Returns whether an idle connection is open and has no data to be read.
 static bool isQuiet(asio::ip::tcp::socket &socket) {
   char byte = 0;
   ssize_t n = ::recv(socket.native_handle(), &byte, sizeof(byte),
--- a/lib/Http/HttpClient.cpp
+++ b/lib/Http/HttpClient.cpp
@@ -1,4 +1,4 @@
-//===- HttpClient.cpp - HTTP requests by Beast ----------------------------===//
+//===- HttpClient.cpp - HTTP requests with Beast --------------------------===//
 //
 // See HttpClient.h for the difference between call() and run().
 //
@@ -43,8 +43,8 @@
     kept->expires_after(timeout);
     Result<HttpResponse> response =
         co_await exchange(std::move(kept), request, isLost);
-    // Servers close connections that rest, and with them go those that rested
-    // longer.
+    // Servers close idle connections. All others in Idle have been idle for
+    // longer than the lost one, so they are dropped as well.
     bool canRepeat = isLost && repetition == Repetition::AfterLostConnection;
     if (!canRepeat)
       co_return response;
@@ -68,7 +68,7 @@
   co_return std::move(stream);
 }
 
-/// Sets \p isLost if the connection ended without a byte of an answer.
+/// Sets \p isLost if the connection closed before the first byte of a response.
 asio::awaitable<Result<HttpResponse>>
 HttpClient::exchange(Stream stream, const HttpRequest &request, bool &isLost) {
   auto [writeError, written] =
@@ -94,8 +94,9 @@
   co_return response;
 }
 
-/// Why a run ended without a whole answer. A connection that ends by itself
-/// says that the server may have ended; silence and damage do not.
+/// Returns why run() received no complete response. A closed or reset
+/// connection indicates that the server may have exited; a timeout or a
+/// malformed response does not.
 static ResultCode failureOf(const boost::system::error_code &ec) {
   bool isCut = ec == asio::error::connection_reset ||
                ec == asio::error::broken_pipe || ec == asio::error::eof ||
--- a/lib/Http/HttpServer.cpp
+++ b/lib/Http/HttpServer.cpp
@@ -1,6 +1,7 @@
 //===- HttpServer.cpp - connections and requests --------------------------===//
 //
-// A slow or rude client costs one connection and its limits, nothing else.
+// A slow or misbehaving client takes up one connection and no more than its
+// limits allow; other connections are not affected.
 //
 //===----------------------------------------------------------------------===//
 
@@ -39,12 +40,12 @@
   std::size_t Connections = 0;
   std::size_t Busy = 0;
   bool ClosesAfterAnswers = false;
-  /// Connections that rest between two requests.
+  /// Connections that are idle between two requests.
   std::set<beast::tcp_stream *> Resting;
 };
 
 namespace {
-/// Counts something for as long as it is held.
+/// Increments a counter for the lifetime of this object.
 class Count {
 public:
   explicit Count(std::size_t &n) : N(n) { ++N; }
@@ -69,7 +70,7 @@
   Stream.socket().cancel(ignored);
 }
 
-/// Whether the peer of the readable \p socket has closed it.
+/// Returns whether the peer of the readable \p socket has closed or reset it.
 static bool isClosedByPeer(asio::ip::tcp::socket &socket) {
   char byte = 0;
   ssize_t n = ::recv(socket.native_handle(), &byte, sizeof(byte),
@@ -98,7 +99,8 @@
   response.version(Request.version());
   response.keep_alive(Request.keep_alive() && !MustClose);
   response.prepare_payload();
-  // A client that sent HEAD takes no body; closing tells it where we are.
+  // A client expects no body after HEAD, so the connection is closed to mark
+  // the end of the response.
   bool isHead = Request.method() == http::verb::head;
   MustClose = MustClose || isHead || !response.keep_alive();
   Stream.expires_after(Limits.WriteTimeout);
@@ -153,7 +155,7 @@
 }
 
 asio::awaitable<bool> HttpExchange::endStream() {
-  // The answer to HEAD ends with its head.
+  // The response to HEAD consists of the headers only.
   if (Request.method() == http::verb::head)
     co_return true;
   Stream.expires_after(Limits.WriteTimeout);
@@ -216,7 +218,7 @@
 void HttpServer::stopAccepting() {
   auto &acceptor = State->Acceptor;
   State->ClosesAfterAnswers = true;
-  // Connections that wait to be accepted would be reset by close().
+  // Accepts all queued connections first, because close() would reset them.
   boost::system::error_code ec;
   acceptor.non_blocking(true, ec);
   while (!ec) {
@@ -248,7 +250,8 @@
                  serve(State, std::move(socket)), asio::detached);
 }
 
-/// The status for a request that could not be read; 0 to just close.
+/// Returns the status for a request that could not be read; 0 to close the
+/// connection without a response.
 static unsigned statusOfReadError(const boost::system::error_code &ec) {
   if (ec == http::error::body_limit)
     return 413;
@@ -265,7 +268,8 @@
 static constexpr std::string_view ContinueAnswer =
     "HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Whether the client waits for a word before it sends the body.
+/// Returns whether the client waits for "100 Continue" before it sends the
+/// body.
 static bool expectsContinue(const HttpRequest &request) {
   return beast::iequals(request[http::field::expect], "100-continue");
 }
@@ -273,7 +277,7 @@
 asio::awaitable<void> HttpServer::serve(std::shared_ptr<Shared> shared,
                                         asio::ip::tcp::socket socket) {
   Count connection(shared->Connections);
-  // A new connection counts as busy, as its first request is under way.
+  // A new connection counts as busy, because its first request is on the way.
   std::optional<Count> busy(std::in_place, shared->Busy);
   boost::system::error_code ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
--- a/lib/Rpc/Codec.cpp
+++ b/lib/Rpc/Codec.cpp
@@ -1,6 +1,7 @@
 //===- Codec.cpp - messages to and from protobuf --------------------------===//
 //
-// One pair of functions for each message. Fields map one to one.
+// put() encodes and get() decodes one type of message, field by field. decode()
+// itself decodes the messages that need no function of their own.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Rpc/CrashCodec.cpp
+++ b/lib/Rpc/CrashCodec.cpp
@@ -1,4 +1,4 @@
-//===- CrashCodec.cpp - what is told of ended endpoints -------------------===//
+//===- CrashCodec.cpp - crash reports to and from protobuf ----------------===//
 //
 // See CrashCodec.h.
 //
@@ -12,10 +12,10 @@
 
 using namespace ospreyspur;
 
-/// What is taken of a report at most: more than any entry sends.
+/// Bounds on the records read from one report; no entry sends more.
 static constexpr int MaxRows = 64;
 static constexpr int MaxCrashes = 8;
-/// Older than anything that is kept.
+/// Ages are capped here; no record is kept for that long.
 static constexpr std::uint64_t MaxAgeUs = 86400ULL * 1000000;
 
 static std::uint64_t toWire(Duration it) {
--- a/lib/Rpc/CrashCodec.h
+++ b/lib/Rpc/CrashCodec.h
@@ -1,6 +1,6 @@
-//===- CrashCodec.h - what is told of ended endpoints -----------*- C++ -*-===//
+//===- CrashCodec.h - crash reports to and from protobuf --------*- C++ -*-===//
 //
-// The same fields stand in load reports and in messages on links.
+// Crash reports have the same fields in load reports and in messages on links.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 void encodeCrashes(const CrashReport &report, wire::LoadReport &out);
 void encodeCrashes(const CrashReport &report, wire::CrashUpdate &out);
 
-/// What exceeds the bounds of a report is left out.
+/// Records beyond the bounds on the size of a report are ignored.
 CrashReport decodeCrashes(const wire::LoadReport &in);
 CrashReport decodeCrashes(const wire::CrashUpdate &in);
 
--- a/lib/Rpc/LoadCodec.cpp
+++ b/lib/Rpc/LoadCodec.cpp
@@ -15,7 +15,7 @@
 
 using namespace ospreyspur;
 
-/// What a damaged or hostile report may make this entry hold.
+/// Bounds on what a damaged or malicious report can make this entry keep.
 static constexpr int MaxRates = 64;
 static constexpr int MaxLeaving = 64;
 static constexpr Duration MaxAge = std::chrono::hours(1);
@@ -75,12 +75,13 @@
   return out.SerializeAsString();
 }
 
-/// Replaced endpoints that are taken of a report at most.
+/// Replaced endpoints read from one report.
 static constexpr int MaxReplaced = 64;
-/// Slower endpoints serve nobody.
+/// Larger slowdown factors are capped; such slow endpoints are of no use.
 static constexpr double MaxPace = 100;
 
-/// Neither a number that is none nor one below 1 says anything.
+/// Returns the reported slowdown factor, capped at MaxPace. Returns 0 (unknown)
+/// for values below 1 and for values that are not finite.
 static double soundPace(double told) {
   return std::isfinite(told) && told >= 1 ? std::min(told, MaxPace) : 0;
 }
--- a/lib/Rpc/MapCodec.cpp
+++ b/lib/Rpc/MapCodec.cpp
@@ -1,4 +1,4 @@
-//===- MapCodec.cpp - messages about maps to and from protobuf ------------===//
+//===- MapCodec.cpp - expert map messages to and from protobuf ------------===//
 //
 // See MapCodec.h.
 //
@@ -15,13 +15,16 @@
 using namespace ospreyspur;
 
 static constexpr std::uint32_t MaxByte = 255;
-/// With this shift a byte's highest bit is that of a 32-bit number.
+/// This shift moves the highest bit of a byte to that of a 32-bit number.
 static constexpr unsigned MaxPicksShift = 24;
-/// Slower ranks serve nobody.
+/// Larger slowdown factors are capped; such slow ranks are of no use.
 static constexpr double MaxPace = 100;
-/// More ranks or sets than any group has; bounds what a bad order can cost.
+/// Largest number of ranks or sets accepted. No group has as many; the bound
+/// limits the memory and time that an invalid order can take.
 static constexpr std::uint32_t MaxMapDimension = 4096;
-/// More experts, or rows of ranks, in all sets than any model has; likewise.
+/// Largest product of sets and experts, and of sets and ranks, accepted for an
+/// initial map. No model has as many; the bound limits the cost of an invalid
+/// order.
 static constexpr std::uint32_t MaxDealtRows = 1U << 18U;
 
 static void put(const RankPlacement &in, wire::RankPlacement *out) {
@@ -98,7 +101,7 @@
     out.Held = StepNumber(in.held());
   if (in.picks_shift() > MaxPicksShift)
     return std::nullopt;
-  // Neither a number that is none nor one below 1 says anything.
+  // A slowdown factor that is not finite is ignored; one below 1 counts as 1.
   if (std::isfinite(in.pace()))
     out.Pace = std::clamp(double(in.pace()), 1.0, MaxPace);
   for (char it : in.picks())
@@ -120,7 +123,7 @@
     }
 }
 
-/// Null if \p in does not hold a whole map.
+/// Returns null if \p in does not hold exactly one complete map.
 static std::shared_ptr<const GroupPlacement> getMap(const wire::MapOrder &in) {
   const std::uint32_t *it = in.map().data();
   const std::uint32_t *end = it + in.map_size();
@@ -140,7 +143,9 @@
   return it == end ? out : nullptr;
 }
 
-/// Some three bytes a place, as most are near the one before.
+/// Encodes each replaced expert as the distance to the number of the previous
+/// place and the new expert. Most distances are small, so a place takes about
+/// three bytes.
 static void putReplaced(const std::vector<ReplacedExpert> &in,
                         wire::MapOrder &out) {
   if (in.empty())
@@ -162,7 +167,7 @@
   }
 }
 
-/// Nothing if \p in is damaged.
+/// Returns nothing if the replaced experts in \p in are malformed.
 static std::optional<std::vector<ReplacedExpert>>
 getReplaced(const wire::MapOrder &in) {
   constexpr int Head = 2;
@@ -192,7 +197,8 @@
   return out;
 }
 
-/// A base of 0 stands for a dealt map, whose shape comes first.
+/// A base of 0 stands for the map that a group is formed with. The dimensions
+/// of that map then precede the sets.
 static void putDelta(const MapDelta &in, wire::MapOrder &out) {
   out.set_base(in.Dealt ? 0 : in.Base.get());
   if (in.Dealt) {
@@ -209,7 +215,7 @@
   putReplaced(in.Replaced, out);
 }
 
-/// Nothing if no group has such a shape.
+/// Returns nothing if no group can have these dimensions.
 static std::optional<DealtShape> getShape(const std::uint32_t *it) {
   DealtShape out{it[0], it[1], it[2]};
   bool isSound = out.Ranks > 0 && out.Ranks <= MaxMapDimension &&
@@ -220,7 +226,8 @@
   return isSound ? std::optional(out) : std::nullopt;
 }
 
-/// Nothing if \p in ends within a set or its shape.
+/// Returns nothing if \p in ends within the dimensions or a set, or if the
+/// replaced experts are malformed.
 static std::optional<MapDelta> getDelta(const wire::MapOrder &in) {
   constexpr std::ptrdiff_t HeadSize = 3;
   constexpr std::ptrdiff_t ShapeSize = 3;
--- a/lib/Rpc/MapCodec.h
+++ b/lib/Rpc/MapCodec.h
@@ -1,4 +1,4 @@
-//===- MapCodec.h - messages about maps to and from protobuf ----*- C++ -*-===//
+//===- MapCodec.h - expert map messages to and from protobuf ----*- C++ -*-===//
 //
 // The messages between the agents of one group; the other messages are in
 // Codec.cpp.
@@ -26,7 +26,7 @@
 void encodeMap(const MapOrderReply &in, wire::Message &message);
 void encodeMap(const LeaderCheck &in, wire::Message &message);
 
-/// Nothing if a field has a value that is not known.
+/// Returns nothing if a field has an unknown or invalid value.
 std::optional<Message> decodeMap(const wire::RankReport &in);
 std::optional<Message> decodeMap(const wire::MapOrder &in);
 std::optional<Message> decodeMap(const wire::MapOrderReply &in);
--- a/lib/Rpc/PeerClient.cpp
+++ b/lib/Rpc/PeerClient.cpp
@@ -1,11 +1,12 @@
-//===- PeerClient.cpp - gRPC's callback client ----------------------------===//
+//===- PeerClient.cpp - gRPC callback client ------------------------------===//
 //
-// Retries of gRPC's own are off: whether something may be sent again is decided
-// by the nodes.
+// The retries of gRPC are disabled, because the nodes decide whether a message
+// may be sent again.
 //
-// A channel must not lose its last reference on one of gRPC's own threads, as
-// that thread would then tear down the queue it is working for. A link holds
-// such a reference, so closing waits until the link has been deleted.
+// The last reference to a channel must not be released on one of gRPC's own
+// threads: that thread would then destroy the queue that it serves. A link
+// holds a reference to its channel, so close() waits until the link has been
+// deleted.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,22 +32,23 @@
 namespace {
 using ClientReactor = grpc::ClientBidiReactor<wire::Envelope, wire::Envelope>;
 
-/// What a ClientLink reports to its owner.
+/// Callbacks of a ClientLink to its owner.
 struct ClientLinkHandlers {
   std::function<void(std::vector<Message>)> OnMessages;
-  /// The link must not be used any more.
+  /// The stream has ended; the link must not be used after this call.
   std::function<void()> OnEnded;
   /// The link has been deleted.
   std::function<void()> OnDeleted;
 };
 
-/// One stream; deletes itself when gRPC is done with it.
+/// One stream. Deletes itself in OnDone, after which gRPC does not use it.
 class ClientLink final : public ClientReactor {
 public:
   ClientLink(wire::Peer::Stub &stub, ClientLinkHandlers handlers)
       : Handlers(std::move(handlers)), Writer(*this) {
     stub.async()->Link(&Context, this);
-    // Writes come from other threads, outside of the reactions.
+    // Other threads start writes outside the callbacks of the reactor. The hold
+    // keeps gRPC from finishing the stream meanwhile.
     AddHold();
     StartRead(&Incoming);
     StartCall();
@@ -120,12 +122,13 @@
       return;
     if (!Current)
       open();
-    // A refused message means that OnDown is under way.
+    // send() fails if the link has closed or the peer is too slow. OnDown
+    // follows in both cases.
     if (!Current->send(message))
       Current->cancel();
   }
 
-  /// Ends the link and waits until gRPC is done with it.
+  /// Cancels the link and waits until it has been deleted.
   void close() {
     std::unique_lock lock(Mutex);
     IsClosed = true;
@@ -154,7 +157,8 @@
         if (IsClosed)
           return;
       }
-      // From here on this object may be gone.
+      // Once the lock is released, close() may return and this object may be
+      // destroyed, so the handler must not use members.
       onDown();
     };
     ++LiveLinks;
--- a/lib/Rpc/PeerServer.cpp
+++ b/lib/Rpc/PeerServer.cpp
@@ -1,7 +1,7 @@
-//===- PeerServer.cpp - gRPC's callback server ----------------------------===//
+//===- PeerServer.cpp - gRPC callback server ------------------------------===//
 //
-// One reactor for each link. A reactor deletes itself in OnDone, after which
-// gRPC does not call it any more.
+// Each link has one reactor. A reactor deletes itself in OnDone, after which
+// gRPC does not call it again.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
 namespace {
 using ServerReactor = grpc::ServerBidiReactor<wire::Envelope, wire::Envelope>;
 
-/// Called when a link's reactor is done.
+/// Called from OnDone of a link's reactor.
 using DoneHandler = std::function<void(LinkId)>;
 
 class ServerLink final : public ServerReactor {
