--- a/unittests/Http/HttpClientTest.cpp
+++ b/unittests/Http/HttpClientTest.cpp
@@ -1,7 +1,8 @@
-//===- HttpClientTest.cpp - kept connections that end ---------------------===//
+//===- HttpClientTest.cpp - idle connections that close -------------------===//
 //
-// Real sockets on loopback: a server that answers one request on a connection
-// and then closes it without having said so.
+// Guards against lost or duplicated requests when a server closes an idle
+// connection without "Connection: close" in its response. Uses loopback
+// sockets.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,14 +23,14 @@
 using std::chrono::seconds;
 
 namespace {
-/// Answers the first request of each connection.
+/// Answers the first request of each connection and then closes it.
 class ForgetfulServer {
 public:
   ForgetfulServer() : Acceptor(Context, Address) {
     asio::co_spawn(Context, serve(), asio::detached);
   }
 
-  /// How two calls in turn end.
+  /// Makes two calls in sequence and returns whether each succeeded.
   std::pair<bool, bool> callTwice(Repetition repetition) {
     std::pair<bool, bool> out;
     HttpClient client(Context, Address);
@@ -69,14 +70,14 @@
 };
 } // namespace
 
-TEST_CASE("a call that may be repeated survives the end of a kept connection") {
+TEST_CASE("a call that may be resent succeeds if its idle connection closed") {
   ForgetfulServer server;
   CHECK(server.callTwice(Repetition::AfterLostConnection) ==
         std::pair(true, true));
   CHECK(server.connections() == 2);
 }
 
-TEST_CASE("one that may not be repeated is not sent again") {
+TEST_CASE("a call that may not be resent fails if its idle connection closed") {
   ForgetfulServer server;
   CHECK(server.callTwice(Repetition::Never) == std::pair(true, false));
   CHECK(server.connections() == 1);
--- a/unittests/Http/HttpServerTest.cpp
+++ b/unittests/Http/HttpServerTest.cpp
@@ -1,7 +1,8 @@
-//===- HttpServerTest.cpp - a server that stops ---------------------------===//
+//===- HttpServerTest.cpp - stopping and disconnects ----------------------===//
 //
-// Real sockets on loopback, each step awaited: what a client has begun before
-// the server stops accepting is answered whole.
+// Guards against incomplete responses and reset connections when a server stops
+// accepting, and against undetected disconnects. Uses loopback sockets, and
+// each step waits for the previous one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -34,14 +35,16 @@
     REQUIRE(Server.listen(Address));
   }
 
-  /// A connection that the system has opened and the server has not accepted.
+  /// Opens a connection that the kernel has queued and the server has not yet
+  /// accepted.
   tcp::socket connect() {
     tcp::socket socket(Context);
     socket.connect(Address);
     return socket;
   }
 
-  /// Everything that the server sends until it closes; its error, if any.
+  /// Returns all data that the server sends until it closes the connection, or
+  /// the message of the error if reading fails.
   std::string readAll(tcp::socket &socket) {
     std::string text;
     boost::system::error_code ec;
@@ -69,7 +72,7 @@
   fixture.Server.stopAccepting();
   fixture.Context.poll();
   CHECK(fixture.Server.busyCount() > 0);
-  // The second client's request comes after the stop.
+  // The second client sends its request after the stop.
   asio::write(second, asio::buffer(Request));
   for (tcp::socket *it : {&first, &second}) {
     std::string text = fixture.readAll(*it);
@@ -82,7 +85,7 @@
   CHECK(ec == asio::error::connection_refused);
 }
 
-TEST_CASE("a stopping server asks its clients to close and counts none idle") {
+TEST_CASE("a stopping server asks clients to close and then has none busy") {
   Fixture fixture;
   tcp::socket client = fixture.connect();
   fixture.Context.poll();
@@ -95,17 +98,18 @@
   CHECK(fixture.Server.busyCount() == 0);
 }
 
-TEST_CASE("a server that stops accepting closes resting connections") {
+TEST_CASE("a server that stops accepting closes idle connections") {
   Fixture fixture;
   tcp::socket client = fixture.connect();
   asio::write(client, asio::buffer(Request));
   fixture.Context.poll();
-  // Its first request is answered; the connection rests.
+  // The first request has been answered and the connection is idle.
   while (client.available() == 0)
     fixture.Context.poll();
   fixture.Context.poll();
   fixture.Server.stopAccepting();
-  // The close is there at once; waiting for it would also see the read timeout.
+  // A non-blocking read shows that the connection is closed already; a blocking
+  // read would also succeed after the server's read timeout.
   client.non_blocking(true);
   std::string text;
   boost::system::error_code ec;
@@ -114,7 +118,7 @@
   CHECK(ec == asio::error::eof);
 }
 
-TEST_CASE("connections wait for a server that queues until it accepts") {
+TEST_CASE("connections queue on a listening server until it accepts") {
   asio::io_context ioc;
   HttpServer server(ioc, HttpLimits(), answer);
   tcp::endpoint address = test::findFreeAddress();
@@ -132,7 +136,7 @@
   CHECK(client.available() > 0);
 }
 
-TEST_CASE("a client that hangs up while it waits is noticed") {
+TEST_CASE("a client that disconnects while a handler runs is detected") {
   asio::io_context ioc;
   bool isNoticed = false;
   tcp::endpoint address = test::findFreeAddress();
--- a/unittests/Rpc/MapCodecTest.cpp
+++ b/unittests/Rpc/MapCodecTest.cpp
@@ -1,6 +1,7 @@
-//===- MapCodecTest.cpp - messages about maps survive the wire ------------===//
+//===- MapCodecTest.cpp - encoding of expert map messages -----------------===//
 //
-// What a coordinator decides by must arrive as it was sent.
+// A coordinator bases its decisions on these messages, so they must decode to
+// the values that were encoded. Malformed messages must be rejected.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +15,7 @@
 
 using namespace ospreyspur;
 
-/// \p message after it has been written and read; it must be of the same kind.
+/// Returns \p message after encoding and decoding; the type must be unchanged.
 template <typename T> static T pass(const T &message) {
   wire::Message bytes;
   encode(message, bytes);
@@ -24,7 +25,7 @@
   return std::get<T>(*read);
 }
 
-TEST_CASE("a rank's status survives the wire") {
+TEST_CASE("a rank status is unchanged after encoding and decoding") {
   RankStatus status;
   status.Group = GroupId("g");
   status.Formation = FormationEpoch(3);
@@ -57,7 +58,7 @@
   CHECK(read.Endpoint == status.Endpoint);
 }
 
-TEST_CASE("an order and its answer survive the wire, unknown kinds do not") {
+TEST_CASE("map orders and replies round-trip, unknown kinds are rejected") {
   MapOrder order;
   order.Id = MapOrderId(9);
   order.Fence = FencingToken(1ULL << 40U);
@@ -82,7 +83,7 @@
   CHECK_FALSE(decode(bytes).has_value());
 }
 
-TEST_CASE("samples of demand take a byte for each expert") {
+TEST_CASE("sampled expert counts take one byte per expert") {
   RankStatus status;
   for (std::uint32_t i = 0; i < 1536; ++i)
     status.Picks.push_back(i * 40);
@@ -91,14 +92,14 @@
   CHECK(bytes.ByteSizeLong() < 1536 + 32);
   RankStatus read = pass(status);
   REQUIRE(read.Picks.size() == status.Picks.size());
-  // Rounded to a part in 128 of the largest.
+  // Rounding errors are at most 1/128 of the largest count.
   for (std::size_t i = 0; i < read.Picks.size(); ++i)
     CHECK(status.Picks[i] - read.Picks[i] <= 1535 * 40 / 128);
   bytes.mutable_rank_report()->set_picks_shift(25);
   CHECK_FALSE(decode(bytes).has_value());
 }
 
-TEST_CASE("an order whose map is not whole is no order") {
+TEST_CASE("an order with a malformed map is rejected") {
   MapOrder order;
   order.Kind = MapOrderKind::Prepare;
   order.Map = std::make_shared<const GroupPlacement>(
@@ -119,7 +120,7 @@
   CHECK_FALSE(decode(huge).has_value());
 }
 
-TEST_CASE("a map told by what differs survives the wire") {
+TEST_CASE("a map delta is unchanged after encoding and decoding") {
   MapOrder order;
   order.Kind = MapOrderKind::Prepare;
   order.Version = MapVersion(7);
@@ -138,7 +139,7 @@
   CHECK(pass(order).Delta.has_value());
 }
 
-TEST_CASE("an order whose difference is not whole is no order") {
+TEST_CASE("an order with a malformed or misplaced map delta is rejected") {
   MapOrder order;
   order.Kind = MapOrderKind::Prepare;
   order.Delta = MapDelta{MapVersion(6), {{1, 0, {4, 9}}}};
--- a/unittests/Rpc/PeerLinkTest.cpp
+++ b/unittests/Rpc/PeerLinkTest.cpp
@@ -1,7 +1,8 @@
-//===- PeerLinkTest.cpp - links that come and go --------------------------===//
+//===- PeerLinkTest.cpp - closing of links --------------------------------===//
 //
-// Links closed from either side again and again, while gRPC's threads still
-// report on them. A fault here ends the test program.
+// Guards against use of a link or its owner after destruction: either side
+// closes links while gRPC's threads still call their callbacks. Such a fault
+// crashes the test program.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +20,7 @@
 using namespace ospreyspur;
 
 namespace {
-/// A server that sends every message back.
+/// Sends every received message back.
 class EchoServer {
 public:
   explicit EchoServer(const std::string &address)
@@ -34,7 +35,7 @@
   PeerServer Server;
 };
 
-/// A client that sends a message until an answer has come.
+/// Sends a message again each time the link closes, until a reply arrives.
 class EchoClient {
 public:
   explicit EchoClient(const std::string &address)
@@ -63,7 +64,7 @@
   return "127.0.0.1:" + std::to_string(test::findFreeAddress().port());
 }
 
-TEST_CASE("links are closed by their clients at any moment") {
+TEST_CASE("clients can close links while gRPC threads still use them") {
   std::string address = findAddress();
   for (int i = 0; i < 600; ++i) {
     EchoServer server(address);
@@ -72,7 +73,7 @@
   }
 }
 
-TEST_CASE("links are closed by their server at any moment") {
+TEST_CASE("a server can close links while gRPC threads still use them") {
   std::string address = findAddress();
   for (int i = 0; i < 3; ++i) {
     EchoClient client(address);
