--- a/include/ospreyspur/Http/EndpointPool.h
+++ b/include/ospreyspur/Http/EndpointPool.h
@@ -39,11 +39,11 @@
   using Connection = std::unique_ptr<EndpointConnection>;
 
   /// Largest number of idle connections to one endpoint.
-  static constexpr std::size_t MaxKept = 8;
+  static constexpr std::size_t MaxIdlePerEndpoint = 8;
   /// How long an idle connection is kept if the endpoint states no time.
-  static constexpr Duration DefaultKeep = std::chrono::seconds(2);
+  static constexpr Duration DefaultIdleTime = std::chrono::seconds(2);
   /// How much earlier than the endpoint this side closes an idle connection.
-  static constexpr Duration KeepMargin = std::chrono::milliseconds(1500);
+  static constexpr Duration IdleMargin = std::chrono::milliseconds(1500);
 
   explicit EndpointPool(boost::asio::io_context &ioc) : Context(ioc) {}
 
@@ -62,7 +62,7 @@
 
 private:
   boost::asio::io_context &Context;
-  std::map<EndpointId, std::vector<Connection>> Kept;
+  std::map<EndpointId, std::vector<Connection>> IdleConnections;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Http/HttpExchange.h
+++ b/include/ospreyspur/Http/HttpExchange.h
@@ -50,10 +50,10 @@
   /// Begins a streamed response of unknown length with the status and headers
   /// of \p head.
   boost::asio::awaitable<bool> beginStream(const HttpResponse &head);
-  /// Calls \p onHangUp once if the client closes its connection before the
+  /// Calls \p onDisconnect once if the client closes its connection before the
   /// handler has returned. A client that has sent data after this request is
   /// not watched.
-  void watchHangUp(std::function<void()> onHangUp);
+  void watchHangUp(std::function<void()> onDisconnect);
   /// Sends a part of a streamed response.
   boost::asio::awaitable<bool> writeStream(std::string data);
   /// Marks the end of a complete streamed response.
@@ -64,22 +64,22 @@
   void cut() { MustClose = true; }
   /// Sends "Connection: close" with the response. Must be called before the
   /// response begins.
-  void closeAfterAnswer() { MustClose = true; }
+  void closeAfterResponse() { MustClose = true; }
 
   bool mustClose() const { return MustClose; }
   bool hasBegun() const { return HasBegun; }
 
 private:
   /// Shared with the wait for the socket, which may outlive the exchange.
-  struct HangUpWatch {
+  struct DisconnectWatch {
     bool IsOn = true;
-    std::function<void()> OnHangUp;
+    std::function<void()> OnDisconnect;
   };
 
   boost::beast::tcp_stream &Stream;
   const HttpRequest &Request;
   const HttpLimits &Limits;
-  std::shared_ptr<HangUpWatch> Watch;
+  std::shared_ptr<DisconnectWatch> Watch;
   bool HasBegun = false;
   bool MustClose = false;
 };
--- a/include/ospreyspur/Http/HttpServer.h
+++ b/include/ospreyspur/Http/HttpServer.h
@@ -54,14 +54,15 @@
   std::size_t busyCount() const;
 
 private:
-  struct Shared;
+  struct SharedState;
 
   boost::asio::awaitable<void> acceptLoop();
   void admit(boost::asio::ip::tcp::socket socket);
   static boost::asio::awaitable<void>
-  serve(std::shared_ptr<Shared> shared, boost::asio::ip::tcp::socket socket);
+  serve(std::shared_ptr<SharedState> shared,
+        boost::asio::ip::tcp::socket socket);
 
-  std::shared_ptr<Shared> State;
+  std::shared_ptr<SharedState> State;
 };
 
 } // namespace ospreyspur
--- a/lib/Http/CallerApi.cpp
+++ b/lib/Http/CallerApi.cpp
@@ -133,17 +133,17 @@
   bool isCompletion =
       out.Target == "/v1/completions" || out.Target == "/v1/chat/completions";
   out.WantsTicket = out.Target == "/v1/tickets";
-  Result<void> isRead = boost::outcome_v2::success();
+  Result<void> readResult = boost::outcome_v2::success();
   if (isPost && (isCompletion || out.WantsTicket))
-    isRead = readModelBody(request, out);
+    readResult = readModelBody(request, out);
   else if (out.Target.starts_with(ServicesPrefix))
-    isRead = readServicePath(out);
+    readResult = readServicePath(out);
   else
     return Error{ResultCode::NotFound, "no such path"};
-  if (isRead)
-    isRead = readHeaders(request, defaultDeadline, out);
-  if (!isRead)
-    return isRead.error();
+  if (readResult)
+    readResult = readHeaders(request, defaultDeadline, out);
+  if (!readResult)
+    return readResult.error();
 
   auto service = snapshot.Services.find(out.Service);
   if (service == snapshot.Services.end())
--- a/lib/Http/EndpointPool.cpp
+++ b/lib/Http/EndpointPool.cpp
@@ -23,7 +23,7 @@
 static constexpr int UserTimeoutMs = 4000;
 
 /// Returns whether an idle connection is open and has no data to be read.
-static bool isQuiet(asio::ip::tcp::socket &socket) {
+static bool isReusable(asio::ip::tcp::socket &socket) {
   char byte = 0;
   ssize_t n = ::recv(socket.native_handle(), &byte, sizeof(byte),
                      MSG_PEEK | MSG_DONTWAIT);
@@ -32,11 +32,11 @@
 
 EndpointPool::Connection EndpointPool::takeKept(const EndpointId &id,
                                                 TimePoint now) {
-  auto it = Kept.find(id);
-  while (it != Kept.end() && !it->second.empty()) {
+  auto it = IdleConnections.find(id);
+  while (it != IdleConnections.end() && !it->second.empty()) {
     Connection connection = std::move(it->second.back());
     it->second.pop_back();
-    if (now < connection->KeepUntil && isQuiet(connection->Stream.socket()))
+    if (now < connection->KeepUntil && isReusable(connection->Stream.socket()))
       return connection;
   }
   return nullptr;
@@ -58,9 +58,9 @@
 
 void EndpointPool::keep(const EndpointId &id, Connection connection,
                         std::optional<Duration> keepAlive, TimePoint now) {
-  Duration span = keepAlive ? *keepAlive - KeepMargin : DefaultKeep;
-  std::vector<Connection> &kept = Kept[id];
-  if (span <= Duration::zero() || kept.size() >= MaxKept)
+  Duration span = keepAlive ? *keepAlive - IdleMargin : DefaultIdleTime;
+  std::vector<Connection> &kept = IdleConnections[id];
+  if (span <= Duration::zero() || kept.size() >= MaxIdlePerEndpoint)
     return;
   connection->KeepUntil = now + span;
   connection->Stream.expires_never();
@@ -68,8 +68,9 @@
 }
 
 void EndpointPool::closeUnused(TimePoint now) {
-  for (auto &[id, connections] : Kept)
+  for (auto &[id, connections] : IdleConnections)
     std::erase_if(connections,
                   [now](const Connection &it) { return it->KeepUntil <= now; });
-  std::erase_if(Kept, [](const auto &it) { return it.second.empty(); });
+  std::erase_if(IdleConnections,
+                [](const auto &it) { return it.second.empty(); });
 }
--- a/lib/Http/HttpClient.cpp
+++ b/lib/Http/HttpClient.cpp
@@ -21,7 +21,7 @@
 static constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
 static constexpr std::size_t MaxIdleConnections = 32;
 static constexpr std::size_t ReadBytes = 16U << 10U;
-static constexpr std::uint64_t MaxAnswerBytes = 64U << 20U;
+static constexpr std::uint64_t MaxResponseBytes = 64U << 20U;
 
 void HttpRunHandle::stop() {
   IsStopped = true;
@@ -79,7 +79,7 @@
   }
   beast::flat_buffer buf;
   http::response_parser<http::string_body> parser;
-  parser.body_limit(MaxAnswerBytes);
+  parser.body_limit(MaxResponseBytes);
   auto [readError, got] =
       co_await http::async_read(*stream, buf, parser, AsTuple);
   if (readError) {
@@ -97,7 +97,7 @@
 /// Returns why run() received no complete response. A closed or reset
 /// connection indicates that the server may have exited; a timeout or a
 /// malformed response does not.
-static ResultCode failureOf(const boost::system::error_code &ec) {
+static ResultCode classifyFailure(const boost::system::error_code &ec) {
   bool isCut = ec == asio::error::connection_reset ||
                ec == asio::error::broken_pipe || ec == asio::error::eof ||
                ec == http::error::end_of_stream ||
@@ -126,18 +126,18 @@
   auto [writeError, written] =
       co_await http::async_write(stream, request, AsTuple);
   if (writeError)
-    co_return failureOf(writeError);
+    co_return classifyFailure(writeError);
 
   beast::flat_buffer buf;
   http::response_parser<http::buffer_body> parser;
-  parser.body_limit(MaxAnswerBytes);
+  parser.body_limit(MaxResponseBytes);
   parser.skip(request.method() == http::verb::head);
   stream.expires_after(idle);
   auto [headError, headBytes] =
       co_await http::async_read_header(stream, buf, parser, AsTuple);
   if (headError || handle->IsStopped)
     co_return handle->IsStopped ? ResultCode::AnswerBroken
-                                : failureOf(headError);
+                                : classifyFailure(headError);
   sink.OnHead({parser.get().result_int(), parser.get()});
   std::array<char, ReadBytes> data{};
   while (!parser.is_done()) {
@@ -151,7 +151,7 @@
     if (filled > 0)
       sink.OnData(std::string_view(data.data(), filled));
     if (ec && ec != http::error::need_buffer)
-      co_return failureOf(ec);
+      co_return classifyFailure(ec);
   }
   co_return ResultCode::Ok;
 }
--- a/lib/Http/HttpServer.cpp
+++ b/lib/Http/HttpServer.cpp
@@ -30,8 +30,8 @@
 
 static constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
 
-struct HttpServer::Shared {
-  Shared(asio::io_context &ioc, HttpLimits limits, HttpHandler handler)
+struct HttpServer::SharedState {
+  SharedState(asio::io_context &ioc, HttpLimits limits, HttpHandler handler)
       : Acceptor(ioc), Limits(limits), Handler(std::move(handler)) {}
 
   asio::ip::tcp::acceptor Acceptor;
@@ -39,19 +39,19 @@
   HttpHandler Handler;
   std::size_t Connections = 0;
   std::size_t Busy = 0;
-  bool ClosesAfterAnswers = false;
+  bool ClosesAfterResponses = false;
   /// Connections that are idle between two requests.
-  std::set<beast::tcp_stream *> Resting;
+  std::set<beast::tcp_stream *> IdleStreams;
 };
 
 namespace {
 /// Increments a counter for the lifetime of this object.
-class Count {
+class ScopedCount {
 public:
-  explicit Count(std::size_t &n) : N(n) { ++N; }
-  Count(const Count &) = delete;
-  Count &operator=(const Count &) = delete;
-  ~Count() { --N; }
+  explicit ScopedCount(std::size_t &n) : N(n) { ++N; }
+  ScopedCount(const ScopedCount &) = delete;
+  ScopedCount &operator=(const ScopedCount &) = delete;
+  ~ScopedCount() { --N; }
 
 private:
   std::size_t &N;
@@ -78,14 +78,14 @@
   return n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-void HttpExchange::watchHangUp(std::function<void()> onHangUp) {
-  Watch = std::make_shared<HangUpWatch>();
-  Watch->OnHangUp = std::move(onHangUp);
+void HttpExchange::watchHangUp(std::function<void()> onDisconnect) {
+  Watch = std::make_shared<DisconnectWatch>();
+  Watch->OnDisconnect = std::move(onDisconnect);
   auto &socket = Stream.socket();
   socket.async_wait(asio::socket_base::wait_read,
                     [watch = Watch, &socket](boost::system::error_code ec) {
                       if (!ec && watch->IsOn && isClosedByPeer(socket))
-                        watch->OnHangUp();
+                        watch->OnDisconnect();
                     });
 }
 
@@ -167,7 +167,7 @@
 
 HttpServer::HttpServer(asio::io_context &ioc, HttpLimits limits,
                        HttpHandler handler)
-    : State(std::make_shared<Shared>(ioc, limits, std::move(handler))) {}
+    : State(std::make_shared<SharedState>(ioc, limits, std::move(handler))) {}
 
 static Error makeListenError(const TcpAddress &address,
                              const boost::system::error_code &ec) {
@@ -213,11 +213,11 @@
 
 void HttpServer::setLimits(const HttpLimits &limits) { State->Limits = limits; }
 
-void HttpServer::closeAfterAnswers() { State->ClosesAfterAnswers = true; }
+void HttpServer::closeAfterAnswers() { State->ClosesAfterResponses = true; }
 
 void HttpServer::stopAccepting() {
   auto &acceptor = State->Acceptor;
-  State->ClosesAfterAnswers = true;
+  State->ClosesAfterResponses = true;
   // Accepts all queued connections first, because close() would reset them.
   boost::system::error_code ec;
   acceptor.non_blocking(true, ec);
@@ -228,7 +228,7 @@
       admit(std::move(socket));
   }
   acceptor.close(ec);
-  for (beast::tcp_stream *it : std::exchange(State->Resting, {}))
+  for (beast::tcp_stream *it : std::exchange(State->IdleStreams, {}))
     it->close();
 }
 
@@ -265,7 +265,7 @@
   return 0;
 }
 
-static constexpr std::string_view ContinueAnswer =
+static constexpr std::string_view ContinueResponse =
     "HTTP/1.1 100 Continue\r\n\r\n";
 
 /// Returns whether the client waits for "100 Continue" before it sends the
@@ -274,11 +274,11 @@
   return beast::iequals(request[http::field::expect], "100-continue");
 }
 
-asio::awaitable<void> HttpServer::serve(std::shared_ptr<Shared> shared,
+asio::awaitable<void> HttpServer::serve(std::shared_ptr<SharedState> shared,
                                         asio::ip::tcp::socket socket) {
-  Count connection(shared->Connections);
+  ScopedCount connection(shared->Connections);
   // A new connection counts as busy, because its first request is on the way.
-  std::optional<Count> busy(std::in_place, shared->Busy);
+  std::optional<ScopedCount> busy(std::in_place, shared->Busy);
   boost::system::error_code ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
   beast::tcp_stream stream(std::move(socket));
@@ -289,23 +289,23 @@
         static_cast<std::uint32_t>(shared->Limits.MaxHeaderBytes));
     parser.body_limit(shared->Limits.MaxBodyBytes);
     stream.expires_after(shared->Limits.ReadTimeout);
-    bool isResting = !busy && buf.size() == 0;
-    if (isResting)
-      shared->Resting.insert(&stream);
+    bool isIdle = !busy && buf.size() == 0;
+    if (isIdle)
+      shared->IdleStreams.insert(&stream);
     auto [ec, begun] =
         co_await http::async_read_some(stream, buf, parser, AsTuple);
-    shared->Resting.erase(&stream);
+    shared->IdleStreams.erase(&stream);
     if (!busy)
       busy.emplace(shared->Busy);
     if (!ec && !parser.is_done() && expectsContinue(parser.get()))
       ec = std::get<0>(co_await asio::async_write(
-          stream, asio::buffer(ContinueAnswer), AsTuple));
+          stream, asio::buffer(ContinueResponse), AsTuple));
     if (!ec && !parser.is_done())
       ec = std::get<0>(co_await http::async_read(stream, buf, parser, AsTuple));
     HttpRequest request = parser.release();
     HttpExchange exchange(stream, request, shared->Limits);
-    if (shared->ClosesAfterAnswers)
-      exchange.closeAfterAnswer();
+    if (shared->ClosesAfterResponses)
+      exchange.closeAfterResponse();
     if (ec) {
       exchange.cut();
       if (unsigned status = statusOfReadError(ec))
--- a/lib/Rpc/LoadCodec.cpp
+++ b/lib/Rpc/LoadCodec.cpp
@@ -25,8 +25,8 @@
 }
 
 static Duration decodeAge(std::uint64_t microseconds) {
-  auto most = static_cast<std::uint64_t>(MaxAge.count());
-  return Duration(static_cast<Duration::rep>(std::min(microseconds, most)));
+  auto maxAge = static_cast<std::uint64_t>(MaxAge.count());
+  return Duration(static_cast<Duration::rep>(std::min(microseconds, maxAge)));
 }
 
 static void encodeRate(const RateLimitRow &row, wire::RateLimit &out) {
@@ -45,9 +45,9 @@
                      decodeAge(it.sent_age_us()), decodeAge(it.heard_age_us())};
     if (it.has_per_second())
       row.PerSecond = it.per_second();
-    bool isSound = !row.PerSecond ||
+    bool isValid = !row.PerSecond ||
                    (std::isfinite(*row.PerSecond) && *row.PerSecond >= 0);
-    if (isSound)
+    if (isValid)
       out.push_back(row);
   }
   return out;
@@ -78,12 +78,14 @@
 /// Replaced endpoints read from one report.
 static constexpr int MaxReplaced = 64;
 /// Larger slowdown factors are capped; such slow endpoints are of no use.
-static constexpr double MaxPace = 100;
+static constexpr double MaxSlowdown = 100;
 
-/// Returns the reported slowdown factor, capped at MaxPace. Returns 0 (unknown)
-/// for values below 1 and for values that are not finite.
-static double soundPace(double told) {
-  return std::isfinite(told) && told >= 1 ? std::min(told, MaxPace) : 0;
+/// Returns the reported slowdown factor, capped at MaxSlowdown, or 0 (unknown)
+/// for values that are below 1 or not finite.
+static double sanitizeSlowdown(double reported) {
+  return std::isfinite(reported) && reported >= 1
+             ? std::min(reported, MaxSlowdown)
+             : 0;
 }
 
 std::optional<LoadReport> ospreyspur::decodeLoad(std::string_view bytes) {
@@ -94,7 +96,7 @@
   out.Node = in.node();
   for (const wire::EndpointLoad &it : in.loads())
     out.Loads.push_back({EndpointId(it.endpoint()), it.running(), it.unread(),
-                         soundPace(it.pace())});
+                         sanitizeSlowdown(it.pace())});
   out.Crashes = decodeCrashes(in);
   for (int i = 0; i < std::min(in.replaced_size(), MaxReplaced); ++i)
     out.Replaced.emplace_back(in.replaced(i));
--- a/lib/Rpc/MapCodec.cpp
+++ b/lib/Rpc/MapCodec.cpp
@@ -18,14 +18,14 @@
 /// This shift moves the highest bit of a byte to that of a 32-bit number.
 static constexpr unsigned MaxPicksShift = 24;
 /// Larger slowdown factors are capped; such slow ranks are of no use.
-static constexpr double MaxPace = 100;
+static constexpr double MaxSlowdown = 100;
 /// Largest number of ranks or sets accepted. No group has as many; the bound
 /// limits the memory and time that an invalid order can take.
 static constexpr std::uint32_t MaxMapDimension = 4096;
 /// Largest product of sets and experts, and of sets and ranks, accepted for an
 /// initial map. No model has as many; the bound limits the cost of an invalid
 /// order.
-static constexpr std::uint32_t MaxDealtRows = 1U << 18U;
+static constexpr std::uint32_t MaxInitialMapRows = 1U << 18U;
 
 static void put(const RankPlacement &in, wire::RankPlacement *out) {
   for (const auto &set : in) {
@@ -47,9 +47,9 @@
                      wire::RankReport &out) {
   if (in.empty())
     return;
-  std::uint32_t most = *std::max_element(in.begin(), in.end());
+  std::uint32_t largest = *std::max_element(in.begin(), in.end());
   unsigned shift = 0;
-  while ((most >> shift) > MaxByte)
+  while ((largest >> shift) > MaxByte)
     ++shift;
   std::string *bytes = out.mutable_picks();
   bytes->reserve(in.size());
@@ -103,7 +103,7 @@
     return std::nullopt;
   // A slowdown factor that is not finite is ignored; one below 1 counts as 1.
   if (std::isfinite(in.pace()))
-    out.Pace = std::clamp(double(in.pace()), 1.0, MaxPace);
+    out.Pace = std::clamp(double(in.pace()), 1.0, MaxSlowdown);
   for (char it : in.picks())
     out.Picks.push_back(std::uint32_t(static_cast<unsigned char>(it))
                         << in.picks_shift());
@@ -170,19 +170,19 @@
 /// Returns nothing if the replaced experts in \p in are malformed.
 static std::optional<std::vector<ReplacedExpert>>
 getReplaced(const wire::MapOrder &in) {
-  constexpr int Head = 2;
+  constexpr int HeadSize = 2;
   std::vector<ReplacedExpert> out;
   if (in.replaced_size() == 0)
     return out;
-  bool isSound = in.replaced_size() % 2 == 0 && in.replaced(0) > 0 &&
+  bool isValid = in.replaced_size() % 2 == 0 && in.replaced(0) > 0 &&
                  in.replaced(0) <= MaxMapDimension && in.replaced(1) > 0 &&
                  in.replaced(1) <= MaxMapDimension;
-  if (!isSound)
+  if (!isValid)
     return std::nullopt;
   std::uint64_t sets = in.replaced(0);
   std::uint64_t places = in.replaced(1);
   std::uint64_t number = 0;
-  for (int i = Head; i < in.replaced_size(); i += 2) {
+  for (int i = HeadSize; i < in.replaced_size(); i += 2) {
     number += in.replaced(i);
     std::uint64_t rank = number / places / sets;
     std::uint32_t expert = in.replaced(i + 1);
@@ -218,12 +218,12 @@
 /// Returns nothing if no group can have these dimensions.
 static std::optional<DealtShape> getShape(const std::uint32_t *it) {
   DealtShape out{it[0], it[1], it[2]};
-  bool isSound = out.Ranks > 0 && out.Ranks <= MaxMapDimension &&
+  bool isValid = out.Ranks > 0 && out.Ranks <= MaxMapDimension &&
                  out.Sets <= MaxMapDimension &&
                  out.Experts <= MaxMapDimension &&
-                 out.Sets * out.Experts <= MaxDealtRows &&
-                 out.Sets * out.Ranks <= MaxDealtRows;
-  return isSound ? std::optional(out) : std::nullopt;
+                 out.Sets * out.Experts <= MaxInitialMapRows &&
+                 out.Sets * out.Ranks <= MaxInitialMapRows;
+  return isValid ? std::optional(out) : std::nullopt;
 }
 
 /// Returns nothing if \p in ends within the dimensions or a set, or if the
--- a/unittests/Http/HttpClientTest.cpp
+++ b/unittests/Http/HttpClientTest.cpp
@@ -24,9 +24,9 @@
 
 namespace {
 /// Answers the first request of each connection and then closes it.
-class ForgetfulServer {
+class OneResponseServer {
 public:
-  ForgetfulServer() : Acceptor(Context, Address) {
+  OneResponseServer() : Acceptor(Context, Address) {
     asio::co_spawn(Context, serve(), asio::detached);
   }
 
@@ -71,14 +71,14 @@
 } // namespace
 
 TEST_CASE("a call that may be resent succeeds if its idle connection closed") {
-  ForgetfulServer server;
+  OneResponseServer server;
   CHECK(server.callTwice(Repetition::AfterLostConnection) ==
         std::pair(true, true));
   CHECK(server.connections() == 2);
 }
 
 TEST_CASE("a call that may not be resent fails if its idle connection closed") {
-  ForgetfulServer server;
+  OneResponseServer server;
   CHECK(server.callTwice(Repetition::Never) == std::pair(true, false));
   CHECK(server.connections() == 1);
 }
--- a/unittests/Http/HttpServerTest.cpp
+++ b/unittests/Http/HttpServerTest.cpp
@@ -23,15 +23,15 @@
 
 static constexpr std::string_view Request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
 
-static asio::awaitable<void> answer(HttpExchange &exchange) {
+static asio::awaitable<void> sendResponse(HttpExchange &exchange) {
   co_await exchange.respond(200, "text/plain", "whole");
 }
 
 namespace {
 /// A server on a free port of loopback.
-class Fixture {
+class ServerFixture {
 public:
-  Fixture() : Server(Context, HttpLimits(), answer) {
+  ServerFixture() : Server(Context, HttpLimits(), sendResponse) {
     REQUIRE(Server.listen(Address));
   }
 
@@ -65,7 +65,7 @@
 } // namespace
 
 TEST_CASE("connections opened before a server stops accepting are served") {
-  Fixture fixture;
+  ServerFixture fixture;
   tcp::socket first = fixture.connect();
   tcp::socket second = fixture.connect();
   asio::write(first, asio::buffer(Request));
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE("a stopping server asks clients to close and then has none busy") {
-  Fixture fixture;
+  ServerFixture fixture;
   tcp::socket client = fixture.connect();
   fixture.Context.poll();
   CHECK(fixture.Server.busyCount() == 1);
@@ -99,7 +99,7 @@
 }
 
 TEST_CASE("a server that stops accepting closes idle connections") {
-  Fixture fixture;
+  ServerFixture fixture;
   tcp::socket client = fixture.connect();
   asio::write(client, asio::buffer(Request));
   fixture.Context.poll();
@@ -120,7 +120,7 @@
 
 TEST_CASE("connections queue on a listening server until it accepts") {
   asio::io_context ioc;
-  HttpServer server(ioc, HttpLimits(), answer);
+  HttpServer server(ioc, HttpLimits(), sendResponse);
   tcp::endpoint address = test::findFreeAddress();
   REQUIRE(server.bind(address));
   REQUIRE(server.beginQueueing());
@@ -138,13 +138,13 @@
 
 TEST_CASE("a client that disconnects while a handler runs is detected") {
   asio::io_context ioc;
-  bool isNoticed = false;
+  bool isDetected = false;
   tcp::endpoint address = test::findFreeAddress();
   HttpServer server(ioc, HttpLimits(),
                     [&](HttpExchange &exchange) -> asio::awaitable<void> {
                       asio::steady_timer timer(ioc, std::chrono::seconds(30));
                       exchange.watchHangUp([&] {
-                        isNoticed = true;
+                        isDetected = true;
                         timer.cancel();
                       });
                       boost::system::error_code ec;
@@ -157,9 +157,9 @@
   client.connect(address);
   asio::write(client, asio::buffer(Request));
   ioc.poll();
-  CHECK_FALSE(isNoticed);
+  CHECK_FALSE(isDetected);
   client.close();
-  while (!isNoticed)
+  while (!isDetected)
     ioc.run_one();
-  CHECK(isNoticed);
+  CHECK(isDetected);
 }
--- a/unittests/Rpc/MapCodecTest.cpp
+++ b/unittests/Rpc/MapCodecTest.cpp
@@ -16,7 +16,7 @@
 using namespace ospreyspur;
 
 /// Returns \p message after encoding and decoding; the type must be unchanged.
-template <typename T> static T pass(const T &message) {
+template <typename T> static T roundTrip(const T &message) {
   wire::Message bytes;
   encode(message, bytes);
   std::optional<Message> read = decode(bytes);
@@ -41,7 +41,7 @@
   status.Pace = 2.5;
   status.Placement = {{1, 2}, {0}};
   status.Endpoint = "10.0.0.1:8725";
-  RankStatus read = pass(status);
+  RankStatus read = roundTrip(status);
   CHECK(read.Group == status.Group);
   CHECK(read.Formation == status.Formation);
   CHECK(read.Rank == status.Rank);
@@ -67,7 +67,7 @@
   order.Kind = MapOrderKind::Prepare;
   order.Map =
       std::make_shared<const GroupPlacement>(GroupPlacement{{{1, 2}}, {{0}}});
-  MapOrder read = pass(order);
+  MapOrder read = roundTrip(order);
   CHECK(read.Id == order.Id);
   CHECK((read.Kind == order.Kind));
   CHECK(read.Fence == order.Fence);
@@ -76,7 +76,7 @@
   REQUIRE(read.Map);
   CHECK(*read.Map == *order.Map);
   MapOrderReply reply{order.Id, MapOrderResult::Fenced};
-  CHECK((pass(reply).Result == reply.Result));
+  CHECK((roundTrip(reply).Result == reply.Result));
   wire::Message bytes;
   encode(order, bytes);
   bytes.mutable_map_order()->set_kind(99);
@@ -90,7 +90,7 @@
   wire::Message bytes;
   encode(status, bytes);
   CHECK(bytes.ByteSizeLong() < 1536 + 32);
-  RankStatus read = pass(status);
+  RankStatus read = roundTrip(status);
   REQUIRE(read.Picks.size() == status.Picks.size());
   // Rounding errors are at most 1/128 of the largest count.
   for (std::size_t i = 0; i < read.Picks.size(); ++i)
@@ -104,18 +104,18 @@
   order.Kind = MapOrderKind::Prepare;
   order.Map = std::make_shared<const GroupPlacement>(
       GroupPlacement{{{1, 2}, {}}, {{0}, {3}}});
-  wire::Message whole;
-  encode(order, whole);
-  REQUIRE(decode(whole).has_value());
-  for (int n = whole.map_order().map_size() - 1; n >= 0; --n) {
-    wire::Message bytes = whole;
+  wire::Message complete;
+  encode(order, complete);
+  REQUIRE(decode(complete).has_value());
+  for (int n = complete.map_order().map_size() - 1; n >= 0; --n) {
+    wire::Message bytes = complete;
     bytes.mutable_map_order()->mutable_map()->Truncate(n);
     CHECK_FALSE(decode(bytes).has_value());
   }
-  wire::Message longer = whole;
+  wire::Message longer = complete;
   longer.mutable_map_order()->add_map(1);
   CHECK_FALSE(decode(longer).has_value());
-  wire::Message huge = whole;
+  wire::Message huge = complete;
   huge.mutable_map_order()->set_map(0, 1U << 30U);
   CHECK_FALSE(decode(huge).has_value());
 }
@@ -125,7 +125,7 @@
   order.Kind = MapOrderKind::Prepare;
   order.Version = MapVersion(7);
   order.Delta = MapDelta{MapVersion(6), {{1, 0, {4, 9}}, {3, 2, {}}}};
-  MapOrder read = pass(order);
+  MapOrder read = roundTrip(order);
   CHECK_FALSE(read.Map);
   REQUIRE(read.Delta.has_value());
   CHECK(read.Delta->Base == MapVersion(6));
@@ -136,24 +136,24 @@
   CHECK(read.Delta->Sets[1].Rank == 3);
   CHECK(read.Delta->Sets[1].Experts.empty());
   order.Delta->Sets.clear();
-  CHECK(pass(order).Delta.has_value());
+  CHECK(roundTrip(order).Delta.has_value());
 }
 
 TEST_CASE("an order with a malformed or misplaced map delta is rejected") {
   MapOrder order;
   order.Kind = MapOrderKind::Prepare;
   order.Delta = MapDelta{MapVersion(6), {{1, 0, {4, 9}}}};
-  wire::Message whole;
-  encode(order, whole);
-  for (int n = whole.map_order().map_size() - 1; n > 0; --n) {
-    wire::Message bytes = whole;
+  wire::Message complete;
+  encode(order, complete);
+  for (int n = complete.map_order().map_size() - 1; n > 0; --n) {
+    wire::Message bytes = complete;
     bytes.mutable_map_order()->mutable_map()->Truncate(n);
     CHECK_FALSE(decode(bytes).has_value());
   }
-  wire::Message longer = whole;
+  wire::Message longer = complete;
   longer.mutable_map_order()->add_map(1);
   CHECK_FALSE(decode(longer).has_value());
-  wire::Message other = whole;
+  wire::Message other = complete;
   other.mutable_map_order()->set_kind(
       static_cast<unsigned>(MapOrderKind::Hold));
   CHECK_FALSE(decode(other).has_value());
--- a/unittests/Rpc/PeerLinkTest.cpp
+++ b/unittests/Rpc/PeerLinkTest.cpp
@@ -40,14 +40,14 @@
 public:
   explicit EchoClient(const std::string &address)
       : Client(address, {[this](const std::vector<Message> &) {
-                           HasAnswer = true;
+                           HasReply = true;
                            Changed.release();
                          },
                          [this] { Changed.release(); }}) {}
 
   void exchange() {
-    HasAnswer = false;
-    while (!HasAnswer) {
+    HasReply = false;
+    while (!HasReply) {
       Client.send(Probe{CallId(1), WorkspaceId("w"), {}, 0});
       Changed.acquire();
     }
@@ -55,7 +55,7 @@
 
 private:
   std::counting_semaphore<> Changed{0};
-  std::atomic<bool> HasAnswer = false;
+  std::atomic<bool> HasReply = false;
   PeerClient Client;
 };
 } // namespace
