--- a/include/ospreyspur/Http/HttpClient.h
+++ b/include/ospreyspur/Http/HttpClient.h
@@ -2,8 +2,8 @@
 //
 // call() reuses idle connections, for short exchanges that the caller can retry
 // or resolve in another way. run() opens a new connection for each request, for
-// requests whose fate matters: only on a new connection can the client tell
-// "never sent" from "lost".
+// requests whose caller must know whether they may have run: only on a new
+// connection can the client tell "never sent" from "lost".
 //
 //===----------------------------------------------------------------------===//
 
