--- a/include/ospreyspur/Direct/ArrivalRate.h
+++ b/include/ospreyspur/Direct/ArrivalRate.h
@@ -1,6 +1,7 @@
-//===- ArrivalRate.h - requests a second, by service ------------*- C++ -*-===//
+//===- ArrivalRate.h - requests per second, by service ----------*- C++ -*-===//
 //
-// A running mean of how often requests for a service come to this entry.
+// An exponentially decaying estimate of the rate at which requests for each
+// service arrive at this entry.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,20 +15,21 @@
 
 namespace ospreyspur {
 
-/// Measures the arrivals of one entry.
+/// Estimates the request rate of each service at one entry.
 class ArrivalRate {
 public:
-  /// A burst shows within about a second; at some ten requests a second fewer
-  /// would tell little.
+  /// With this half-life a burst shows within about a second. With a shorter
+  /// one, a rate of some ten requests per second would be estimated from too
+  /// few requests.
   static constexpr Duration HalfLife = std::chrono::seconds(1);
 
   void onRequest(const ServiceId &service, TimePoint now);
-  /// Requests a second.
+  /// Returns the current rate in requests per second.
   double perSecond(const ServiceId &service, TimePoint now) const;
 
 private:
   struct Count {
-    /// Faded to At.
+    /// Decayed request count as of \c At.
     double Requests = 0;
     TimePoint At;
   };
--- a/include/ospreyspur/Direct/CallState.h
+++ b/include/ospreyspur/Direct/CallState.h
@@ -1,7 +1,7 @@
-//===- CallState.h - one request at a DirectNode ----------------*- C++ -*-===//
+//===- CallState.h - state of one request at a DirectNode -------*- C++ -*-===//
 //
-// What the direct path's state machine holds of a request between its arrival
-// and its final answer.
+// The state that a DirectNode keeps for a request from its arrival to its final
+// response.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,52 +16,57 @@
 
 namespace ospreyspur {
 
-/// One request.
+/// The state of one request.
 struct CallState {
   DirectRequest Request;
   ServiceId Service;
   TimePoint Arrived;
   TimePoint Deadline;
-  /// A request that has not started by then cannot be on time.
+  /// A request that has not started by this time can no longer meet its latency
+  /// target.
   TimePoint OnTimeUntil;
   TimePoint WaitUntil;
-  /// Endpoints that may have run it or said that they were full.
+  /// Number of attempts that count toward the route's limit: those that may
+  /// have run, and those rejected as full before the response had begun.
   unsigned Attempts = 0;
-  /// Requests sent, those to endpoints that were another by then included.
+  /// Number of times the request was sent, including to addresses that another
+  /// incarnation had taken over.
   unsigned Arrivals = 0;
-  /// When the attempt under way began, and when it last got something.
+  /// When the current attempt started, and when it last received data.
   TimePoint SentAt;
   TimePoint HeardAt;
-  /// Times that something of the answer came.
+  /// Number of times that response data arrived.
   unsigned Parts = 0;
-  /// Whether the attempt under way has been told to stop.
+  /// Whether the current attempt is being stopped.
   bool IsStopping = false;
-  /// Whether the attempt under way says nothing for longer than it may.
+  /// Whether the current attempt has been silent for longer than \c Silence.
   bool IsSilent = false;
-  /// Silence after which the attempt is moved if it can be.
+  /// Silent period after which the attempt is migrated if possible.
   Duration Silence{};
   bool HasFirstByte = false;
-  /// Whether a part of the answer has come in any attempt.
+  /// Whether any attempt has received part of the response.
   bool HasBegun = false;
-  /// Whether an endpoint said that it was full: the next attempt is only for
-  /// one that is known to serve.
+  /// Whether an endpoint rejected the request as full. The next attempt then
+  /// only goes to an endpoint that is known to serve.
   bool WasTurnedAway = false;
-  /// Whether an attempt was sent whose fate is unknown.
+  /// Whether the outcome of an attempt that was sent is unknown.
   bool MayHaveRun = false;
-  /// From when on a suspect request may start, drawn once it could.
+  /// Earliest start time of a suspect request, drawn at random once an endpoint
+  /// is available to it.
   std::optional<TimePoint> TurnAt;
   std::set<EndpointId> Tried;
   std::optional<EndpointId> Current;
-  /// Whether the request under way, or the one to come at Next, was taken from
-  /// the rate that its endpoint named.
+  /// Whether the current attempt, or the one that is to follow at \c Next, was
+  /// charged to the rate limit that its endpoint advertised.
   bool IsCounted = false;
   bool IsNextCounted = false;
-  /// Where it goes on once the attempt under way has stopped; a place there and
-  /// a repeat are taken already.
+  /// Where the request continues once the current attempt has stopped. A slot
+  /// there and a retry from the budget are already reserved.
   std::optional<EndpointRecord> Next;
 
-  /// Until when it may wait for an endpoint. How long the caller of a stream
-  /// that has begun bears silence only the caller knows; it hangs up then.
+  /// Returns until when the request may wait for an endpoint. A stream that has
+  /// begun may wait until its deadline: only its caller knows how long a silent
+  /// period it tolerates, and hangs up after that.
   TimePoint waitLimit() const { return HasBegun ? Deadline : WaitUntil; }
 };
 
--- a/include/ospreyspur/Direct/DirectActions.h
+++ b/include/ospreyspur/Direct/DirectActions.h
@@ -1,7 +1,7 @@
 //===- DirectActions.h - inputs and outputs of a DirectNode -----*- C++ -*-===//
 //
-// What the shell hands to the direct path's state machine, and what that asks
-// for.
+// The types of the inputs that a DirectNode takes and of the actions that it
+// returns to the surrounding I/O code.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,89 +22,94 @@
 
 namespace ospreyspur {
 
-/// The sizes that a caller states for a generation.
+/// The prompt and output sizes that a caller states for a generation.
 struct TokenCounts {
   unsigned Prompt = 0;
-  /// Most tokens that come out.
+  /// Maximum number of output tokens.
   unsigned Answer = 0;
 };
 
-/// A caller's request that has a route and, if needed, a known key.
+/// A client's request that has a route and, if needed, a valid key.
 struct DirectRequest {
   CallId Id;
-  /// The caller's name for it, for logs.
+  /// The identifier that the caller gave the request, for logs.
   std::string Label;
   /// Keeps \c Route alive.
   std::shared_ptr<const FleetConfig> Config;
   const RouteRule *Route = nullptr;
   WorkspaceId Workspace;
   unsigned Priority = 0;
-  /// What the caller says is left; nothing if it says nothing.
+  /// Time left until the caller's deadline; unset if the caller states none.
   std::optional<Duration> TimeLeft;
   TokenCounts Tokens;
-  /// What it is known by when it comes again; 0: never.
+  /// Digest that identifies the request when it is sent again; 0 if it cannot
+  /// be identified.
   RequestDigest Digest;
 };
 
 /// How an attempt at an endpoint ended.
 enum class AttemptEnd : std::uint8_t {
-  /// The whole answer came.
+  /// The response is complete.
   Complete,
-  /// The endpoint said that it did not run it as it is full.
+  /// The endpoint rejected the request as it is full, without running it.
   Full,
-  /// Another incarnation has the address; it did not run it.
+  /// Another incarnation has the address and did not run the request.
   OtherEndpoint,
-  /// Nothing was sent: no connection.
+  /// Nothing was sent, as no connection could be established.
   NeverSent,
-  /// Nothing was sent: by then the endpoint took no more requests.
+  /// Nothing was sent, as the endpoint had stopped accepting requests since it
+  /// was picked.
   Withheld,
-  /// A whole answer that says the run failed.
+  /// A complete response that reports a failed run.
   Failed,
-  /// Sent; no answer, a broken one, or one that is not its own.
+  /// The request was sent, but the response is missing, truncated or belongs to
+  /// another request.
   Lost,
-  /// The answer had begun to be passed on and broke off.
+  /// The response broke off after part of it was forwarded to the caller.
   BrokeOff,
 };
 
-/// Who ended an attempt's connection.
+/// Which side closed an attempt's connection.
 enum class ConnectionEnd : std::uint8_t {
-  /// It stands, or this process closed it.
+  /// The connection is open, or this process closed it.
   Ours,
-  /// The endpoint closed or reset it before its answer was whole.
+  /// The endpoint closed or reset it before the response was complete.
   Endpoint,
 };
 
-/// Send the request to this endpoint.
+/// Sends the request to an endpoint.
 struct StartAttempt {
   CallId Call;
   EndpointRecord Endpoint;
-  /// Give it up at this moment.
+  /// The attempt is abandoned at this time.
   TimePoint Deadline;
   unsigned Number = 1;
-  /// Silence after which a stream that can go on elsewhere is moved.
+  /// Silent period after which a stream that can resume at another endpoint is
+  /// migrated.
   Duration Silence{};
 };
 
-/// Answer the caller with this code at once.
+/// Ends the call at once with this result code.
 struct EndCall {
   CallId Call;
   ResultCode Code = ResultCode::Ok;
-  /// When to come back; zero for none.
+  /// When the caller should retry; zero if not stated.
   Duration RetryAfter{};
 };
 
-/// Pass on the endpoint's own failed answer.
+/// Forwards the endpoint's own error response to the caller.
 struct PassOnAnswer {
   CallId Call;
 };
 
 /// Why an attempt is stopped.
 enum class MoveReason : std::uint8_t {
-  /// The answer cannot end in time where it is.
+  /// The response cannot complete before the deadline at its endpoint.
   TooSlow,
-  /// Nothing has come for longer than it may take.
+  /// The endpoint has sent nothing for longer than the allowed silent period.
   Silent,
-  /// The request ends endpoints; it goes nowhere else either.
+  /// The request is quarantined because it crashes endpoints. It is not sent to
+  /// another endpoint.
   Quarantined,
 };
 
@@ -112,31 +117,32 @@
 struct StopAttempt {
   CallId Call;
   MoveReason Reason = MoveReason::TooSlow;
-  /// What it was judged by: the pause to expect between events there, and the
-  /// time that is left.
+  /// The figures behind the decision: the expected inter-event gap at the
+  /// endpoint and the time left until the deadline.
   Duration Gap{};
   Duration TimeLeft{};
 };
 
-/// Ask this endpoint for its condition.
+/// Sends a status query to this endpoint.
 struct AskEndpoint {
   EndpointRecord Endpoint;
 };
 
-/// Find out whether this endpoint has ended; onChecked() takes the answer.
+/// Checks whether this endpoint has exited. onChecked() takes the result.
 struct CheckEndpoint {
   EndpointRecord Endpoint;
 };
 
-/// What an endpoint says of itself when asked.
+/// The status that an endpoint reports in response to a status query.
 struct EndpointCondition {
-  /// The group whose steps it takes part in; empty if there is none.
+  /// The group whose steps the endpoint takes part in; empty if there is none.
   GroupId Group;
-  /// False while its group is being formed: it then takes nothing.
+  /// False while the group is being formed and the endpoint accepts no
+  /// requests.
   bool IsOpen = true;
-  /// Requests of all callers that it runs.
+  /// Number of requests in progress, from all entries.
   unsigned Running = 0;
-  /// How many times slower than usual it works; 1 if as usual.
+  /// Slowdown factor; 1 is normal speed.
   double Pace = 1;
 };
 
--- a/include/ospreyspur/Direct/DirectLimits.h
+++ b/include/ospreyspur/Direct/DirectLimits.h
@@ -1,6 +1,6 @@
-//===- DirectLimits.h - bounds and waits of the direct path -----*- C++ -*-===//
+//===- DirectLimits.h - limits and timeouts of the direct path --*- C++ -*-===//
 //
-// What a DirectNode and its picker keep to.
+// The limits and timeouts of a DirectNode and its EndpointPicker.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,34 +11,38 @@
 
 namespace ospreyspur {
 
-/// Bounds and waits of a DirectNode.
+/// Limits and timeouts of a DirectNode.
 struct DirectLimits {
-  /// How long a request may wait for room: a late answer serves its caller
-  /// better than none. Callers give a silent stream up after two seconds.
+  /// How long a request may wait for a free slot. Waiting is preferred to a
+  /// refusal, as a late response is worth more to a caller than none. Callers
+  /// give up on a silent stream after two seconds.
   Duration MaxWait = std::chrono::milliseconds(1500);
-  /// The same as a part of the time that its caller still has.
+  /// The same limit as a fraction of the time left until the deadline.
   double MaxWaitPart = 0.4;
-  /// Part of the route's target after which a request that still waits cannot
-  /// be on time; those that can go first.
+  /// Fraction of the route's latency target after which a waiting request can
+  /// no longer be within its latency target. Requests that still can are served
+  /// first.
   double OnTimePart = 0.6;
   std::size_t MaxWaiting = 256;
   RetryBounds Retries;
-  /// Requests sent for one call, those to replaced endpoints included.
+  /// Maximum number of times one call is sent, including to addresses that
+  /// another incarnation had taken over.
   unsigned MaxArrivals = 4;
-  /// Silence after which a stream is moved, as a multiple of what endpoints of
-  /// its service take to their first event at present, with its bounds. Before
-  /// any has answered the longest holds. Callers give up after two seconds at
-  /// the earliest.
+  /// The silent period after which a stream is migrated is a multiple of the
+  /// time to first byte that endpoints of its service currently have, within
+  /// these bounds. Until an endpoint of the service has responded, the maximum
+  /// applies. Callers give up after two seconds at the earliest.
   double SilenceFactor = 4;
   Duration MinSilence = std::chrono::milliseconds(900);
   Duration MaxSilence = std::chrono::milliseconds(1800);
-  /// Pause in a group's streams from which on it is slow: passes of a full
-  /// group with a map that does not fit take up to 170 ms on the users'
+  /// Inter-event gap above which a group counts as slow. Engine iterations of a
+  /// full group with an ill-fitting expert map take up to 170 ms on the
   /// platform.
   Duration SlowGap = std::chrono::milliseconds(250);
-  /// How long an endpoint that answered counts as serving.
+  /// How long an endpoint counts as known to serve after it responded.
   Duration ProvenTime = std::chrono::seconds(2);
-  /// Requests that an endpoint of a plain service may have, by its slots.
+  /// Maximum number of requests at an endpoint of a service without an engine,
+  /// as a multiple of its slots.
   double PlainOverload = 2.0;
 };
 
--- a/include/ospreyspur/Direct/DirectNode.h
+++ b/include/ospreyspur/Direct/DirectNode.h
@@ -1,9 +1,11 @@
 //===- DirectNode.h - takes requests straight to endpoints ------*- C++ -*-===//
 //
-// The state machine of an entry's traffic on the direct path. For each request
-// it picks an endpoint, waits for room or refuses, and decides what follows a
-// failed attempt. "Not run" is only said when nothing was sent or the endpoint
-// said so. It does no I/O: inputs and the time go in, actions come out.
+// The state machine of an entry's requests on the direct path. For each request
+// it picks an endpoint, queues the request until one has capacity or refuses
+// it, and decides how to proceed after a failed attempt. A request is reported
+// as not run only if nothing was sent or the endpoint said that it did not run
+// it. The class does no I/O: inputs and the current time go in, actions come
+// out.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,17 +26,18 @@
 
 namespace ospreyspur {
 
-/// Decides for the requests of one entry.
+/// Schedules, retries and migrates the requests of one entry.
 class DirectNode {
 public:
-  /// \p seed feeds ties and splits between services; \p name is this entry's
-  /// among the others.
+  /// \p seed seeds the random choices between equally good endpoints and
+  /// between the services of a route. \p name identifies this entry among the
+  /// others.
   DirectNode(DataCentreId dataCentre, DirectLimits limits, std::uint64_t seed,
              std::string name = "");
   DirectNode(const DirectNode &) = delete;
   DirectNode &operator=(const DirectNode &) = delete;
 
-  // Commands: each takes one input and gives the actions that follow.
+  // Commands: each takes one input and returns the actions that follow.
 
   void setEndpoints(const std::vector<ListedEndpoint> &endpoints) {
     Book.setEndpoints(endpoints);
@@ -44,111 +47,119 @@
     Fleet.onHeard(peer, now);
     Book.setPeerLoad(peer, loads, now);
   }
-  /// The process begins at \p now. From then on the bounds on repeats are kept
-  /// together with processes that ended before, and with entries that are
-  /// listed but not heard of.
+  /// The process starts at \p now. From then on the limits on retries allow for
+  /// what processes that ended before may have spent, and for entries that are
+  /// listed but have not sent a report.
   void beginLife(TimePoint now) {
     MustKnowFleet = true;
     Begin = now;
     Retries.setBegin(now);
   }
-  /// The replaced endpoints to report to the other entries now.
+  /// Returns the replaced endpoints to report to the other entries now.
   std::vector<LifeDigest> takeReplacedReport() {
     return Book.takeReplacedReport();
   }
-  /// Endpoints that another entry reported as replaced.
+  /// Takes the endpoints that another entry reported as replaced.
   void mergeReplaced(const std::vector<LifeDigest> &lives, TimePoint now) {
     Book.mergeReplaced(lives, now);
   }
-  /// The store lists the entries \p names, apart from this one.
+  /// The key-value store lists the entries \p names, apart from this one.
   void setListedEntries(std::set<std::string> names, TimePoint now) {
     Fleet.setListed(std::move(names), now);
   }
   void setRetries(const RetryBounds &bounds) { Retries.setBounds(bounds); }
-  /// A new request. Its id must be new.
+  /// Takes a new request, whose id must be unused.
   DirectActions onCall(DirectRequest request, TimePoint now);
-  /// The first byte of the answer came.
+  /// The first byte of the response arrived.
   DirectActions onFirstByte(CallId id, TimePoint now);
-  /// Events of the answer came; onFirstByte() came before.
+  /// Events of the response arrived after onFirstByte().
   DirectActions onEvents(CallId id, TimePoint now);
-  /// The attempt under way has said nothing for the silence it was given. It
-  /// is stopped if the call can go on elsewhere at once; else it may go on.
+  /// The current attempt has been silent for the period that StartAttempt gave.
+  /// It is stopped if the call can continue at another endpoint at once;
+  /// otherwise it goes on.
   DirectActions onSilent(CallId id, TimePoint now);
-  /// The attempt under way has ended.
+  /// The current attempt has ended.
   DirectActions onAttemptEnded(CallId id, AttemptEnd end, TimePoint now,
                                ConnectionEnd connection = ConnectionEnd::Ours);
-  /// The answer to CheckEndpoint.
+  /// Takes the result of CheckEndpoint.
   DirectActions onChecked(const EndpointId &id, EndpointFate fate,
                           TimePoint now);
-  /// What the entry \p peer knows of requests under which endpoints ended.
+  /// Takes what the entry \p peer knows of requests that crashed endpoints.
   DirectActions onCrashReport(const std::string &peer,
                               const CrashReport &report, TimePoint now);
-  /// Requests that had been quarantined before this process began.
+  /// Restores the requests that were quarantined before this process started.
   DirectActions restoreQuarantine(const std::vector<RequestDigest> &requests,
                                   TimePoint now);
-  /// What to tell the other entries of such requests now.
+  /// Returns what to report to the other entries about such requests now.
   CrashReport takeCrashReport(TimePoint now);
-  /// The head of an answer of the endpoint \p id came. \p sentAt is when its
-  /// request was sent; nothing if that is not known or the answer may not be
-  /// the endpoint's own: it then lifts nothing.
+  /// The response headers of the endpoint \p id arrived. \p sentAt is when its
+  /// request was sent. \p sentAt is unset if that time is unknown or the
+  /// response may not be the endpoint's own; such a response never raises or
+  /// removes a limit.
   DirectActions onPushback(const EndpointId &id, const Pushback &asked,
                            std::optional<TimePoint> sentAt, TimePoint now);
-  /// Another entry told of rates that endpoints named.
+  /// Takes the rate limits that endpoints advertised, as reported by another
+  /// entry.
   DirectActions onRateLimits(const std::vector<RateLimitRow> &rows,
                              TimePoint now);
-  /// The entry \p peer, whose load setPeerLoad() was told, has no callers.
+  /// The entry \p peer, whose load was passed to setPeerLoad(), has no callers.
   void onIdlePeer(const std::string &peer, TimePoint now) {
     Fleet.onIdle(peer, now);
   }
-  /// Another entry has begun and asks for what is known.
+  /// Another entry has started and requests the known rate limits.
   void onPeerBegun(TimePoint now) { Rates.tellAgain(now); }
-  /// Whether this entry asks the others so.
+  /// Whether this entry has just started and asks the others for their known
+  /// rate limits.
   bool isNew(TimePoint now) const;
-  /// Whether this entry has no callers: others may send its part of what
-  /// endpoints take.
+  /// Whether this entry has no callers. The other entries may then use its
+  /// share of what endpoints accept.
   bool isIdle(TimePoint now) const;
-  /// The rates to tell the other entries now.
+  /// Returns the rate limits to report to the other entries now.
   std::vector<RateLimitRow> takeRateReport(TimePoint now) {
     return Rates.takeReport(now);
   }
-  /// Lives of endpoints that said that they leave, to tell the other entries
-  /// now.
+  /// Returns the incarnations that announced that they are draining, to report
+  /// to the other entries now.
   std::vector<LifeDigest> takeLeavingReport() {
     return Closed.takeLeavingReport();
   }
-  /// Another entry told of such lives.
+  /// Takes the draining incarnations that another entry reported.
   DirectActions onLeaving(const std::vector<LifeDigest> &lives, TimePoint now);
-  /// Whether the request of the attempt under way may be written now. Time has
-  /// passed since its endpoint was picked, and the endpoint may have asked for
-  /// less meanwhile.
+  /// Whether the request of the current attempt may be written now. The
+  /// endpoint may have lowered its limits since it was picked.
   bool maySend(CallId id, TimePoint now);
-  /// Whether the endpoint \p id may be asked beside its requests.
+  /// Whether the endpoint \p id may be sent status queries in addition to its
+  /// requests.
   bool takesQuestions(const EndpointId &id, TimePoint now) const {
     const EndpointState *state = Book.find(id);
     return !state || (!Rates.isLimited(state->Life) && !isClosed(*state, now));
   }
-  /// What an endpoint told that was asked; nothing if it did not answer.
+  /// Takes an endpoint's status report; \p condition is unset if the endpoint
+  /// did not respond to the query.
   DirectActions onTold(const EndpointId &id,
                        const std::optional<EndpointCondition> &condition,
                        TimePoint now);
-  /// The caller hung up, or its answer was given; the call is forgotten.
+  /// The caller hung up or has its response; the call is forgotten.
   DirectActions onCallGone(CallId id, TimePoint now);
-  /// Does what is due at \p now.
+  /// Handles everything that is due at \p now.
   DirectActions onTimer(TimePoint now);
 
-  /// The requests that began to wait since the last call, for the log.
+  /// Returns the requests that started to wait since the last call, for the
+  /// log.
   std::vector<WaitNote> takeWaitNotes() { return std::exchange(Notes, {}); }
-  /// The ends of endpoints that were put down to requests since the last call,
-  /// for the log.
+  /// Returns the endpoint crashes that were attributed to requests since the
+  /// last call, for the log.
   std::vector<CrashNote> takeCrashNotes() {
     return std::exchange(CrashNotes, {});
   }
-  /// The changes of rates that endpoints named since the last call, for the
+  /// Returns the changes of advertised rate limits since the last call, for the
   /// log.
   std::vector<RateLimitNote> takeRateNotes() { return Rates.takeNotes(); }
-  /// The pauses that endpoints asked for since the last call, for the log.
+  /// Returns the backoffs that endpoints asked for since the last call, for the
+  /// log.
   std::vector<RestNote> takeRestNotes() { return Closed.takeNotes(); }
-  /// The lives that said that they leave since the last call, for the log.
+  /// Returns the incarnations that announced that they are draining since the
+  /// last call, for the log.
   std::vector<LifeDigest> takeLeavingNotes() {
     return Closed.takeLeavingNotes();
   }
@@ -160,13 +171,14 @@
   const CrashTracker &crashes() const { return Crashes; }
   const RateLimits &rates() const { return Rates; }
   const ClosedEndpoints &closed() const { return Closed; }
-  /// Whether the call still has no final answer.
+  /// Whether the call still lacks its final response.
   bool isKnown(CallId id) const { return Calls.contains(id); }
   std::size_t callCount() const { return Calls.size(); }
   std::size_t waitingCount() const { return Waiting.size(); }
 
 private:
-  /// A request that was cut, until its endpoint's fate is known.
+  /// A run whose connection the endpoint closed early, kept until the fate of
+  /// the endpoint is known.
   struct CutRun {
     RequestDigest Request;
     std::string Label;
@@ -174,7 +186,8 @@
     Duration Ran{};
   };
 
-  /// Suspects under way in a report: one a place of this entry's at most.
+  /// Maximum number of running suspect requests in one report; each takes one
+  /// of the slots that this entry uses.
   static constexpr std::size_t MaxToldRuns = 64;
 
   void noteCut(const CallState &call, TimePoint now);
@@ -237,31 +250,33 @@
   ArrivalRate Arrivals;
   RateLimits Rates;
   ClosedEndpoints Closed;
-  /// This entry's name in the fleet, and when the members were last counted.
+  /// This entry's name, and when the members of the fleet were last counted.
   std::string Name;
   std::optional<TimePoint> MembersAt;
-  /// When onTimer() ran last: what was due by then has been done.
+  /// When onTimer() last ran. Everything due by then has been handled.
   TimePoint LastTimer;
   EndpointPicker Picker;
   RetryWindow Retries;
   FleetSize Fleet;
-  /// Whether nothing is taken of the allowance before the store has listed the
-  /// entries once.
+  /// Whether the shared retry allowance must not be used before the store has
+  /// listed the entries once.
   bool MustKnowFleet = false;
   std::optional<TimePoint> Begin;
-  /// When the last call came, and the first one after a time without any.
+  /// When the last call arrived, and when the first one arrived after an idle
+  /// period.
   std::optional<TimePoint> LastCallAt;
   std::optional<TimePoint> ActiveSince;
-  /// What endpoints of a service take to their first byte, as a running mean.
+  /// Running mean of the time to first byte, by service.
   std::map<ServiceId, Duration> FirstByteTimes;
   std::map<CallId, CallState> Calls;
-  /// Calls without an endpoint, the most urgent first, then the oldest.
+  /// Calls that wait for an endpoint, most urgent priority first, then oldest
+  /// first.
   std::set<std::tuple<unsigned, TimePoint, CallId>> Waiting;
-  /// Calls whose attempt under way is silent.
+  /// Calls whose current attempt is silent.
   std::set<CallId> Silent;
   std::vector<WaitNote> Notes;
   CrashTracker Crashes;
-  /// What was cut at endpoints whose fate is being asked.
+  /// Runs that were cut at endpoints whose fate is being checked.
   std::map<EndpointId, std::vector<CutRun>> Checks;
   std::vector<CrashNote> CrashNotes;
   DirectActions Out;
--- a/include/ospreyspur/Direct/EndpointAnswer.h
+++ b/include/ospreyspur/Direct/EndpointAnswer.h
@@ -1,7 +1,6 @@
-//===- EndpointAnswer.h - what an endpoint's answer says ------------*- C++
-//-*-===//
+//===- EndpointAnswer.h - head of an endpoint's response --------*- C++ -*-===//
 //
-// The parts of an answer's head that decide what may be done with it.
+// The parts of a response's head that decide how the response is handled.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,29 +16,30 @@
 
 namespace ospreyspur {
 
-/// What an answer is to the request that it came for.
+/// How a response relates to the request that was sent on its connection.
 enum class AnswerVerdict : std::uint8_t {
-  /// The endpoint's own answer; goes to the caller as it is.
+  /// The endpoint's own response, forwarded to the caller unchanged.
   Own,
-  /// Its own answer, and the run failed.
+  /// The endpoint's own response, which reports a failed run.
   Failed,
-  /// It did not run the request, as it is full.
+  /// The endpoint did not run the request, as it is full.
   Full,
-  /// It did not run the request: another incarnation has the address.
+  /// The request was not run: another incarnation has the address.
   OtherEndpoint,
-  /// It answers another request; ours may still come.
+  /// The response belongs to another request; the expected response may still
+  /// come.
   Foreign,
-  /// Not what a sound endpoint sends; the request may have run.
+  /// Not a valid response of an endpoint; the request may have run.
   Unusable,
 };
 
-/// The head of an endpoint's answer.
+/// The head of an endpoint's response.
 struct EndpointAnswer {
   unsigned Status = 0;
   AnswerVerdict Verdict = AnswerVerdict::Unusable;
-  /// A series of events, each passed on as it comes.
+  /// The body is a stream of events, each forwarded as it arrives.
   bool IsEvents = false;
-  /// How long the endpoint keeps the connection; nothing if it does not say.
+  /// How long the endpoint keeps the connection open; unset if not stated.
   std::optional<Duration> KeepAlive;
   Pushback Asked;
 };
--- a/include/ospreyspur/Direct/EndpointBook.h
+++ b/include/ospreyspur/Direct/EndpointBook.h
@@ -1,8 +1,8 @@
 //===- EndpointBook.h - load and health of each endpoint --------*- C++ -*-===//
 //
-// What an entry knows of the endpoints: its own requests there, those of the
-// other entries, and evidence of failures. An endpoint that fails is left out
-// for a time that doubles with each failure in a row.
+// What an entry knows of the endpoints: its own requests there, the load that
+// other entries report, and evidence of failures. An endpoint that fails is
+// avoided for a time that doubles with each consecutive failure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,54 +25,62 @@
 
 namespace ospreyspur {
 
-/// Requests of one entry at one endpoint.
+/// The load that one entry puts on one endpoint.
 struct EndpointLoad {
   EndpointId Endpoint;
   unsigned Running = 0;
-  /// Prompt tokens of those without a first byte.
+  /// Pending prompt tokens: those of requests without a first byte.
   unsigned Unread = 0;
-  /// How many times slower than usual the endpoint told this entry that it
-  /// works; 0 if it was not asked lately.
+  /// Slowdown factor that the endpoint reported to this entry; 0 if the entry
+  /// has not queried it recently.
   double Pace = 0;
 };
 
 /// One endpoint as an entry sees it.
 struct EndpointState {
   EndpointRecord Record;
-  /// What its life is known by in crash reports.
+  /// Digest that identifies the endpoint's incarnation in crash reports.
   LifeDigest Life;
   bool IsMissing = false;
-  /// This entry's requests there.
+  /// Number of this entry's requests at the endpoint.
   unsigned Own = 0;
-  /// Prompt tokens of this entry's requests without a first byte.
+  /// Pending prompt tokens: those of this entry's requests without a first
+  /// byte.
   unsigned OwnUnread = 0;
   unsigned FailuresInRow = 0;
-  /// Answers in a row that said that the run had failed.
+  /// Consecutive responses that reported a failed run.
   unsigned FailedAnswersInRow = 0;
-  /// Left out until then, if there is any other.
+  /// Until this time the endpoint is used only if there is no other.
   TimePoint SuspectUntil;
-  /// It said that it was full; taken as full until then.
+  /// Until this time the endpoint counts as full, after it rejected a request
+  /// as full.
   TimePoint FullUntil;
   unsigned FullInRow = 0;
-  /// When it last began or ended an answer.
+  /// When a response last began or completed, or a status report last said that
+  /// the endpoint accepts requests and has free slots.
   TimePoint ProvenAt;
-  /// Its group, once it has told it.
+  /// The endpoint's group, once reported.
   GroupId Group;
-  /// Another incarnation has its address: it is excluded until then. The number
-  /// of reports that still have to say so.
+  /// Until this time the endpoint is excluded, as another incarnation has its
+  /// address. \c ReplacedTellings is the number of reports to other entries
+  /// that still have to announce this.
   TimePoint ReplacedUntil;
   unsigned ReplacedTellings = 0;
-  /// It gets nothing before it has told that it takes requests.
+  /// Whether the endpoint gets no requests until it reports that it accepts
+  /// them.
   bool MustTell = false;
   TimePoint AskAt;
-  /// It did not answer a question; others of its group are asked until then.
+  /// Until this time other members of the group are queried, as the endpoint
+  /// did not respond to a status query.
   TimePoint UnansweredUntil;
-  /// How many times slower than usual it works, and when it told.
+  /// Slowdown factor, and when it was reported.
   double Pace = 1;
   TimePoint PaceAt;
-  /// The same, if it told this entry and not another one.
+  /// When the endpoint last reported its slowdown factor to this entry, rather
+  /// than to another one.
   TimePoint PaceToldAt;
-  /// When this entry asks, if no other one has told by then.
+  /// When this entry queries the slowdown factor, unless another entry has
+  /// reported it by then.
   std::optional<TimePoint> AskPaceAt;
 };
 
@@ -83,117 +91,123 @@
   static constexpr Duration LongestSuspicion = std::chrono::seconds(8);
   /// How long a replaced endpoint is excluded.
   static constexpr Duration ReplacedTime = std::chrono::minutes(1);
-  /// Reports in which a replaced endpoint is told, as datagrams may be lost,
-  /// and most of them in one report.
+  /// Number of reports that announce a replaced endpoint, as datagrams may be
+  /// lost, and the maximum number of endpoints announced in one report.
   static constexpr unsigned ReplacedRepeats = 3;
   static constexpr std::size_t MaxToldReplaced = 32;
-  /// From this number of failed answers in a row on an endpoint is suspect: one
-  /// may be the request's own fault. An endpoint that fails at once is always
-  /// the least loaded; unsuspected, a fifth of them got two thirds of all
-  /// requests.
+  /// Number of consecutive failed responses from which on an endpoint is
+  /// suspect. One alone may be the fault of the request. An endpoint that fails
+  /// at once always has the least load: without this rule, the fifth of the
+  /// endpoints that failed received two thirds of all requests.
   static constexpr unsigned SuspectFailedAnswers = 2;
-  /// How long an endpoint that said it was full gets nothing new: about two
-  /// passes of an engine; twice as long each time in a row, as ranks whose
-  /// group is being formed say the same.
+  /// How long an endpoint that rejected a request as full gets no new ones:
+  /// about two engine iterations. The time doubles with each consecutive
+  /// rejection, as ranks whose group is being formed reject requests in the
+  /// same way.
   static constexpr Duration FullTime = std::chrono::milliseconds(100);
   static constexpr Duration LongestFullTime = std::chrono::milliseconds(400);
-  /// Between two questions to an endpoint that takes nothing; a group is formed
-  /// in 600 ms on the users' platform.
+  /// Interval between status queries to an endpoint that accepts no requests.
+  /// Forming a group takes 600 ms on the platform.
   static constexpr Duration AskPause = std::chrono::milliseconds(100);
-  /// With more entries than this each asks less often, so that a group that is
-  /// being formed gets no more than this many questions in a pause.
+  /// Maximum number of status queries that a group being formed gets in one
+  /// interval. With more entries than this, each entry queries less often.
   static constexpr std::size_t AskersPerPause = 8;
-  /// After this time a question without an answer is asked again.
+  /// A status query without a response is repeated after this time.
   static constexpr Duration AskTimeout = std::chrono::seconds(1);
-  /// From this pause between the events of a group's streams on its ranks are
-  /// asked how fast they work: passes of a full group with a map that fits stay
-  /// below it on the users' platform.
+  /// Inter-event gap of a group from which on its ranks are queried for their
+  /// slowdown factors. Engine iterations of a full group with a well-fitting
+  /// expert map stay below this value on the platform.
   static constexpr Duration SlowPass = std::chrono::milliseconds(180);
-  /// How long after the end of one of its endpoints a group is asked again at
-  /// the earliest: it has to be started and the group formed, which takes 600
-  /// ms on the users' platform, and reports are 200 ms old there.
+  /// Delay before a group is queried again after one of its endpoints crashed.
+  /// The endpoint has to be restarted and the group formed, which takes 600 ms
+  /// on the platform, where reports are 200 ms old.
   static constexpr Duration BrokenPause = std::chrono::milliseconds(500);
-  /// Between two such questions of all entries to an endpoint, at the mean;
-  /// what it told holds for two. Each entry asks in its turn, which is drawn
-  /// at random, and tells the others: 52 entries that each asked 192 endpoints
-  /// once a second put 225,000 questions on a day of 17,000 requests.
+  /// Mean interval between slowdown queries of all entries to one endpoint; a
+  /// reported factor is used for two intervals. Each entry draws the time of
+  /// its query at random and announces the result to the others. When 52
+  /// entries each queried 192 endpoints once a second, a day with 17,000
+  /// requests had 225,000 queries.
   static constexpr Duration PaceEvery = std::chrono::milliseconds(1000);
-  /// After this time another entry's report no longer counts.
+  /// Age at which another entry's load report no longer counts.
   static constexpr Duration PeerLoadAge = std::chrono::seconds(1);
 
   // Commands.
 
   void setEndpoints(const std::vector<ListedEndpoint> &endpoints);
-  /// What the entry \p peer has at the endpoints.
+  /// Records the load that the entry \p peer reports.
   void setPeerLoad(const std::string &peer,
                    const std::vector<EndpointLoad> &loads, TimePoint now);
   void onStarted(const EndpointId &id, unsigned promptTokens);
-  /// The first byte of an answer came.
+  /// The first byte of a response arrived.
   void onFirstByte(const EndpointId &id, unsigned promptTokens, TimePoint now);
-  /// The prompt of a request that ended without an answer no longer counts.
+  /// A request ended without a response; its prompt tokens no longer count as
+  /// pending.
   void dropUnread(const EndpointId &id, unsigned promptTokens);
-  /// Events came, \p gap after the last ones.
+  /// Events arrived, \p gap after the previous ones.
   void onEvents(const EndpointId &id, Duration gap, TimePoint now);
-  /// \p wasWriting: whether the first byte had come.
+  /// \p wasWriting says whether the first byte had arrived.
   void onEnded(const EndpointId &id, bool wasWriting);
-  /// A stream's attempt ended after \p silence.
+  /// A stream's attempt ended after an idle period of \p silence.
   void onSilence(const EndpointId &id, Duration silence, TimePoint now);
   void onSuccess(const EndpointId &id, TimePoint now);
   void onFailure(const EndpointId &id, TimePoint now);
-  /// It answered that the run had failed.
+  /// The endpoint responded that the run had failed.
   void onFailedAnswer(const EndpointId &id, TimePoint now);
   void onFull(const EndpointId &id, TimePoint now);
-  /// Says whether an endpoint may be sent a question now; one that is sent
-  /// counts as a request.
+  /// Decides whether an endpoint may be sent a status query now. A query that
+  /// is sent counts as a request toward the endpoint's rate limit.
   using MayAsk = std::function<bool(const EndpointState &)>;
 
-  /// The endpoints to ask for their condition now, one of each known group.
+  /// Returns the endpoints to send a status query to now, one of each known
+  /// group.
   std::vector<EndpointRecord> takeQuestions(const MayAsk &mayAsk,
                                             TimePoint now);
-  /// The endpoints of slow groups to ask how fast they work.
+  /// Returns the endpoints of slow groups to query for their slowdown factors.
   std::vector<EndpointRecord> takePaceQuestions(const MayAsk &mayAsk,
                                                 TimePoint now,
                                                 std::mt19937_64 &random);
-  /// What an endpoint told; nothing if it did not answer.
+  /// Takes an endpoint's status report; \p condition is unset if the endpoint
+  /// did not respond.
   void onTold(const EndpointId &id,
               const std::optional<EndpointCondition> &condition, TimePoint now);
-  /// Forgets what has passed of nextFree().
+  /// Clears the \c FullUntil times that have passed; see nextFree().
   void forgetFull(TimePoint now);
-  /// The endpoint's process has ended: its group takes nothing before one of it
-  /// has told so. Returns the group's endpoints.
+  /// The endpoint's process has exited. Its group gets no requests until one of
+  /// its endpoints reports that it accepts them. Returns the group's endpoints,
+  /// or none if the endpoint cannot be queried for its status.
   std::vector<EndpointId> onLifeEnded(const EndpointId &id, TimePoint now);
   /// Another incarnation has the endpoint's address.
   void onReplaced(const EndpointId &id, TimePoint now);
-  /// Another entry reported the lives \p lives as replaced.
+  /// Another entry reported the incarnations \p lives as replaced.
   void mergeReplaced(const std::vector<LifeDigest> &lives, TimePoint now);
-  /// The replaced endpoints to report to the other entries now.
+  /// Returns the replaced endpoints to report to the other entries now.
   std::vector<LifeDigest> takeReplacedReport();
 
   // Queries.
 
   const std::map<EndpointId, EndpointState> &states() const { return States; }
   const EndpointState *find(const EndpointId &id) const;
-  /// The endpoint with the life \p life; null if it is not known.
+  /// Returns the endpoint of the incarnation \p life; null if it is unknown.
   const EndpointState *findLife(LifeDigest life) const;
-  /// When an endpoint that said that it was full may next be tried again.
+  /// When the next endpoint that rejected a request as full may be tried again.
   std::optional<TimePoint> nextFree() const;
-  /// When takeQuestions() is next needed.
+  /// When takeQuestions() must be called next.
   std::optional<TimePoint> nextQuestion() const;
-  /// What all entries have at \p state's endpoint.
+  /// Returns the load of all entries at \p state's endpoint.
   EndpointLoad totalLoad(const EndpointState &state, TimePoint now) const;
-  /// The pause between events to expect at \p state's endpoint; zero if it is
-  /// of no group or nothing is known.
+  /// Returns the expected inter-event gap at \p state's endpoint; zero if the
+  /// endpoint has no group or nothing is known.
   Duration gapOf(const EndpointState &state, TimePoint now) const;
-  /// The same, of several streams at least.
+  /// Like gapOf(), but the current idle period of a group's only decoding
+  /// stream does not count.
   Duration sureGapOf(const EndpointState &state, TimePoint now) const;
-  /// How many times slower than usual the endpoint works; 1 if that is not
-  /// known.
+  /// Returns the endpoint's slowdown factor; 1 if unknown.
   static double paceOf(const EndpointState &state, TimePoint now) {
     return now - state.PaceAt < 2 * PaceEvery ? state.Pace : 1;
   }
-  /// This entry's load, for the other entries.
+  /// Returns this entry's load, for reports to the other entries.
   std::vector<EndpointLoad> ownLoads(TimePoint now) const;
-  /// Other entries heard of lately.
+  /// Returns the number of other entries that reported recently.
   std::size_t livePeers(TimePoint now) const;
 
 private:
--- a/include/ospreyspur/Direct/EndpointDocument.h
+++ b/include/ospreyspur/Direct/EndpointDocument.h
@@ -1,6 +1,6 @@
-//===- EndpointDocument.h - the endpoint list as one text -------*- C++ -*-===//
+//===- EndpointDocument.h - endpoint list as a JSON document ----*- C++ -*-===//
 //
-// Nodes hand the list on to one another as one value with one revision.
+// Nodes exchange the endpoint list as one value with one revision.
 //
 //===----------------------------------------------------------------------===//
 
--- a/include/ospreyspur/Direct/EndpointList.h
+++ b/include/ospreyspur/Direct/EndpointList.h
@@ -1,8 +1,9 @@
 //===- EndpointList.h - which endpoints exist -------------------*- C++ -*-===//
 //
-// The state machine that turns the platform's lists into the set of endpoints
-// to use. One that vanishes stops being preferred at once and is dropped after
-// a grace, as rows lapse while the platform is out and come back soon after it.
+// The state machine that derives the set of usable endpoints from the
+// platform's lists. An endpoint whose record vanishes is at once used only as a
+// last choice, and dropped after a grace period, as records lapse in an outage
+// of the platform and return soon after it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,30 +22,32 @@
 /// An endpoint that may be used.
 struct ListedEndpoint {
   EndpointRecord Record;
-  /// Whether its row has vanished and may come back.
+  /// Whether the endpoint's record has vanished and may come back.
   bool IsMissing = false;
 };
 
-/// Keeps the set of endpoints.
+/// The set of known endpoints.
 class EndpointList {
 public:
-  /// How long a vanished endpoint is kept, not preferred. New work must end
-  /// 2 s after the row went (the platform's drain bound).
+  /// How long a vanished endpoint is kept as a last choice. The platform
+  /// requires that new work ends within 2 s of the removal of the record.
   static constexpr Duration MissingGrace = std::chrono::milliseconds(1000);
-  /// The same when many vanish at once: rows that lapsed in an outage are back
-  /// within two seconds of the platform's return.
+  /// The grace period when many vanish at once. Records that lapsed in an
+  /// outage are back within two seconds after the platform recovers.
   static constexpr Duration LapseGrace = std::chrono::milliseconds(1900);
-  /// Many: more than one in so many rows.
+  /// \c LapseGrace applies if more than one record in this many vanishes.
   static constexpr std::size_t ManyOneIn = 4;
 
-  /// Takes a whole list.
+  /// Replaces the list. Endpoints that \p records omits become missing, or are
+  /// dropped at once if they have a successor.
   void replace(const std::vector<EndpointRecord> &records, TimePoint now);
-  /// Drops what has been missing too long. True if something was dropped.
+  /// Drops the endpoints whose grace period is over. Returns whether any was
+  /// dropped.
   bool onTimer(TimePoint now);
 
-  /// All endpoints, in the order of their ids.
+  /// Returns all endpoints, ordered by id.
   std::vector<ListedEndpoint> endpoints() const;
-  /// When onTimer() is next needed.
+  /// When onTimer() must be called next.
   std::optional<TimePoint> nextTimer() const;
 
 private:
--- a/include/ospreyspur/Direct/EndpointPicker.h
+++ b/include/ospreyspur/Direct/EndpointPicker.h
@@ -1,7 +1,7 @@
-//===- EndpointPicker.h - the endpoint for a request ------------*- C++ -*-===//
+//===- EndpointPicker.h - picks an endpoint for a request -------*- C++ -*-===//
 //
-// Picks the least loaded endpoint at which a request can be whole in time, out
-// of what an EndpointBook knows.
+// Picks the least loaded of the endpoints at which a request can complete
+// before its deadline, based on an EndpointBook.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,10 +23,11 @@
 
 namespace ospreyspur {
 
-/// Queries only; whoever uses a pick notes it in the book.
+/// Picks endpoints without changing any state; the caller records a pick in the
+/// EndpointBook.
 class EndpointPicker {
 public:
-  /// Everything is kept by reference; \p random breaks ties.
+  /// Keeps references to all arguments. \p random breaks ties.
   EndpointPicker(const EndpointBook &book, const DirectLimits &limits,
                  const DataCentreId &dataCentre, const ArrivalRate &arrivals,
                  const RateLimits &rates, const ClosedEndpoints &closed,
@@ -34,12 +35,12 @@
       : Book(book), Limits(limits), DataCentre(dataCentre), Arrivals(arrivals),
         Rates(rates), Closed(closed), Random(random) {}
 
-  /// The endpoint for \p call; null if none has room for it.
+  /// Returns the endpoint for \p call; null if none has capacity for it.
   const EndpointState *pick(const CallState &call, TimePoint now) const;
-  /// The endpoint for a call whose request may end it: away from \p others,
-  /// where other such requests run, and in the group that has the least to
-  /// lose. Null if there is none; with \p mustBeApart also if others run at
-  /// each.
+  /// Returns the endpoint for a call whose request may crash it: preferably not
+  /// one of \p others, where other such requests run, and in the group with the
+  /// fewest running requests. Returns null if there is none; with \p
+  /// mustBeApart, endpoints in \p others are excluded.
   const EndpointState *pickApart(const CallState &call,
                                  const std::set<LifeDigest> &others,
                                  bool mustBeApart, TimePoint now) const;
@@ -47,14 +48,14 @@
   std::size_t countEndpoints(const ServiceId &service) const {
     return statesOf(service).size();
   }
-  /// Whether the rest of a usual answer to \p call would come from \p state's
-  /// endpoint within its time. The service must have an engine.
+  /// Whether \p state's endpoint can deliver the rest of a response of usual
+  /// length before the deadline of \p call. The service must have an engine.
   bool canFinish(const EndpointState &state, const CallState &call,
                  TimePoint now) const;
-  /// Whether \p state's endpoint is suspect, has vanished from the list or is
-  /// of a group that is slow or stands.
+  /// Whether \p state's endpoint is suspect, is missing from the list, or
+  /// belongs to a group that is slow or stalled.
   bool isDoubtful(const EndpointState &state, TimePoint now) const;
-  /// How many endpoints of \p call's service have which obstacle for it.
+  /// Returns how many endpoints of \p call's service have each obstacle.
   ObstacleCounts countObstacles(const CallState &call, TimePoint now) const;
   /// Endpoints of \p service.
   std::vector<const EndpointState *> statesOf(const ServiceId &service) const;
--- a/include/ospreyspur/Direct/EndpointRecord.h
+++ b/include/ospreyspur/Direct/EndpointRecord.h
@@ -1,6 +1,6 @@
-//===- EndpointRecord.h - what an endpoint says of itself -------*- C++ -*-===//
+//===- EndpointRecord.h - record of an endpoint -----------------*- C++ -*-===//
 //
-// One row of the platform's list of endpoints.
+// One record of the platform's list of endpoints.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,34 +12,36 @@
 
 namespace ospreyspur {
 
-/// When an endpoint started, in ms of the time of day; 0 if it does not say.
-/// Only ever compared for being the same.
+/// Wall-clock start time of an endpoint's process in milliseconds, as reported
+/// by the endpoint; 0 if unknown. Only compared for equality.
 using EndpointLife = StrongType<struct EndpointLifeTag, std::uint64_t>;
 
-/// The id of one life of the endpoint \p name. One that starts again under its
-/// name knows nothing of before, so it must share nothing with its earlier life
-/// in any table: neither health nor load, group, pace or what was tried.
+/// Returns the id of one incarnation of the endpoint \p name. A restarted
+/// process has lost all earlier state, so the incarnations of a name must not
+/// share an entry in any table: not for health, load, group, slowdown or
+/// attempts.
 inline EndpointId makeEndpointId(const std::string &name, EndpointLife life) {
   bool isTold = life != EndpointLife(0);
   return EndpointId(isTold ? name + "@" + std::to_string(life.get()) : name);
 }
 
-/// One life of an endpoint.
+/// One incarnation of an endpoint.
 struct EndpointRecord {
   EndpointId Id;
-  /// What it is called, in this life and others.
+  /// The name that all incarnations of the endpoint share.
   std::string Name;
   EndpointLife Life = EndpointLife(0);
   ServiceId Service;
   TcpAddress Address;
   DataCentreId DataCentre;
-  /// Requests that it runs at one time.
+  /// Number of requests that the endpoint runs at the same time.
   unsigned Slots = 1;
   bool IsLeaving = false;
-  /// Whether it can be asked for its condition (engines can).
+  /// Whether the endpoint responds to status queries, as engines do.
   bool TellsState = false;
-  /// The last change of its row. Of two rows with one address the later stands:
-  /// the earlier one's endpoint has ended without a word.
+  /// Revision of the last change of the record. Of two records with the same
+  /// address the later one is valid: the endpoint of the earlier one has exited
+  /// without removing its record.
   Revision ListedAt = Revision(0);
 
   friend bool operator==(const EndpointRecord &,
--- a/include/ospreyspur/Direct/EventCutter.h
+++ b/include/ospreyspur/Direct/EventCutter.h
@@ -1,7 +1,8 @@
-//===- EventCutter.h - whole events out of a stream of bytes ----*- C++ -*-===//
+//===- EventCutter.h - splits a byte stream into events ---------*- C++ -*-===//
 //
-// An endpoint may break off in the middle of an event. Only whole events go to
-// the caller, so that a stream can go on at another endpoint after the last.
+// A response may break off in the middle of an event. Only complete events are
+// forwarded to the caller, so that a stream can resume at another endpoint
+// after the last one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,17 +14,18 @@
 
 namespace ospreyspur {
 
-/// Splits a stream of server-sent events.
+/// Splits a stream of server-sent events into complete events.
 class EventCutter {
 public:
-  /// Takes \p data and gives the whole events that are new, as they came.
+  /// Appends \p data and returns the events that are now complete, with their
+  /// bytes unchanged.
   std::string add(std::string_view data);
-  /// Forgets the part of an event that has not come whole.
+  /// Discards the incomplete event at the end.
   void dropRest() { Rest.clear(); }
 
-  /// Whether a part of an event has come.
+  /// Whether an incomplete event is buffered.
   bool hasRest() const { return !Rest.empty(); }
-  /// The id of the last whole event; empty if none had one.
+  /// Returns the id of the last complete event that has one; empty if none has.
   const std::string &lastId() const { return LastId; }
 
 private:
--- a/include/ospreyspur/Direct/FleetConfig.h
+++ b/include/ospreyspur/Direct/FleetConfig.h
@@ -1,7 +1,8 @@
 //===- FleetConfig.h - routes, services and keys in force -------*- C++ -*-===//
 //
-// The desired state as the direct path uses it: immutable once built, shared by
-// all requests that began under it. platform/ConfigWire.h reads it.
+// The configuration as the direct path uses it: immutable once built, and
+// shared by all requests that started under it. platform/ConfigWire.h parses
+// it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,18 +21,18 @@
 
 namespace ospreyspur {
 
-/// What may be done with a request whose fate is unknown.
+/// Whether a request whose outcome is unknown may be sent again.
 enum class RequestKind : std::uint8_t {
   /// May run more than once.
   Repeatable,
   /// Runs at most once.
   OnceOnly,
-  /// Runs at most once unless it can be resumed; the answer is a series of
+  /// Runs at most once unless it can be resumed; the response is a stream of
   /// events.
   Stream,
 };
 
-/// A service and its share of a route's requests.
+/// A service and its weight among the services of a route.
 struct WeightedService {
   ServiceId Service;
   unsigned Weight = 1;
@@ -44,34 +45,35 @@
   std::string Prefix;
   RequestKind Kind = RequestKind::OnceOnly;
   std::vector<WeightedService> Services;
-  /// Longest time that a request is held.
+  /// Maximum time for which a request is held.
   Duration Timeout = std::chrono::seconds(30);
-  /// Time to the first byte within which an answer earns its full worth.
+  /// Latency target: the time to first byte within which a response earns its
+  /// full value.
   Duration Target = std::chrono::seconds(1);
-  /// Longest pause between events; zero if the route has none.
+  /// Target for the longest inter-event gap; zero if the route has none.
   Duration GapTarget{};
   /// 0 is the most urgent.
   unsigned Priority = 0;
-  /// Endpoints that one request may be sent to.
+  /// Maximum number of attempts of one request.
   unsigned Attempts = 1;
   /// Whether requests need no key.
   bool IsPublic = false;
-  /// Whether a stream may go on at another endpoint after its last event.
+  /// Whether a stream may resume at another endpoint after its last event.
   bool IsResumable = false;
 
-  /// Whether a request may be sent again though it may have run. A stream that
-  /// can be resumed may: from its beginning, or after the last event that its
-  /// caller has.
+  /// Whether a request may be sent again even if it may have run. A resumable
+  /// stream may be: from its beginning, or after the last event that its caller
+  /// has received.
   bool isRepeatable() const {
     return Kind == RequestKind::Repeatable || canResume();
   }
-  /// Whether an answer that has begun may go on at another endpoint.
+  /// Whether a response that has begun may resume at another endpoint.
   bool canResume() const {
     return IsResumable && Kind != RequestKind::OnceOnly;
   }
 };
 
-/// What the engine of a service costs, as its operator states it.
+/// Cost figures of a service's engine, as its operator states them.
 struct EngineFigures {
   unsigned Slots = 1;
   Duration Step{};
@@ -79,34 +81,37 @@
   double ReadTokensPerSecond = 0;
   unsigned StepsPerPass = 1;
   unsigned ReadTokensPerStep = 512;
-  /// Tokens of a usual answer; 0 if its operator does not say.
+  /// Number of tokens in a usual response; 0 if not stated.
   unsigned UsualAnswer = 0;
-  /// Expert placement: sets of layers, experts in each, places a rank.
+  /// Expert placement: number of layer sets, experts in each set, and expert
+  /// slots of a rank.
   std::size_t ExpertSets = 0;
   std::size_t Experts = 0;
   std::size_t PlacesPerRank = 0;
-  /// New experts that one change may bring to a rank in each set.
+  /// Number of new experts that one change may bring to a rank in each layer
+  /// set.
   std::size_t SparePlaces = 0;
-  /// How long a rank copies one expert; zero if its operator does not say.
+  /// Time that a rank takes to copy one expert; zero if not stated.
   Duration CopyTime{};
 };
 
 /// One service.
 struct ServiceRule {
   ServiceId Name;
-  /// Connections that an endpoint takes from all callers together.
+  /// Maximum number of connections that an endpoint accepts from all entries
+  /// together.
   std::size_t MaxConnections = 100;
   std::optional<EngineFigures> Engine;
 };
 
-/// One workspace, found by a key.
+/// A workspace, looked up by key.
 struct WorkspaceRule {
   WorkspaceId Name;
-  /// Goes before the route's priority.
+  /// Overrides the route's priority.
   std::optional<unsigned> Priority;
 };
 
-/// Bounds on what callers may send.
+/// Limits on what callers may send.
 struct CallerLimits {
   std::size_t MaxHeaderBytes = 16U << 10U;
   std::size_t MaxBodyBytes = 4U << 20U;
@@ -114,9 +119,9 @@
   Duration IdleTimeout = std::chrono::seconds(15);
 };
 
-/// Everything that the operators state.
+/// The configuration that the operators set.
 struct FleetConfig {
-  /// The operators' own number; rises with every change.
+  /// Version number that the operators assign; rises with every change.
   std::uint64_t Version = 0;
   std::vector<RouteRule> Routes;
   std::unordered_map<ServiceId, ServiceRule> Services;
@@ -125,11 +130,11 @@
   bool HasWorkspaces = false;
   CallerLimits Limits;
 
-  /// The route of \p host whose prefix is the longest that begins \p path; null
-  /// if there is none.
+  /// Returns the route of \p host with the longest prefix of \p path; null if
+  /// there is none.
   const RouteRule *findRoute(std::string_view host,
                              std::string_view path) const;
-  /// The service \p id; null if there is none.
+  /// Returns the service \p id; null if there is none.
   const ServiceRule *findService(const ServiceId &id) const;
 };
 
--- a/include/ospreyspur/Direct/FleetSize.h
+++ b/include/ospreyspur/Direct/FleetSize.h
@@ -21,35 +21,38 @@
 
 namespace ospreyspur {
 
-/// The other entries as one entry knows them.
+/// The other entries that one entry knows of.
 class FleetSize {
 public:
   // Commands.
 
-  /// The entry \p name has reported.
+  /// The entry \p name has sent a report.
   void onHeard(const std::string &name, TimePoint now);
-  /// Its report, which onHeard() was told of, says that it has no callers.
+  /// The report that was passed to onHeard() says that the entry \p name has no
+  /// callers.
   void onIdle(const std::string &name, TimePoint now) { IdleAt[name] = now; }
-  /// The store lists the entries \p names, apart from this one.
+  /// The key-value store lists the entries \p names, apart from this one.
   void setListed(std::set<std::string> names, TimePoint now);
 
   // Queries.
 
-  /// Entries within the last \p window, this one included.
+  /// Returns the number of entries that reported or were listed within the last
+  /// \p window, this one included.
   std::size_t count(Duration window, TimePoint now) const;
-  /// The names of these entries, without this one's.
+  /// Returns the names of the entries that count() counts, without this one.
   std::vector<std::string> others(Duration window, TimePoint now) const;
-  /// The same without those that have just reported that they have no callers.
+  /// Like others(), but without the entries whose latest report, at most \c
+  /// ReportDelay old, says that they have no callers.
   std::vector<std::string> othersWithCallers(Duration window,
                                              TimePoint now) const;
-  /// Whether the list was ever read. Before that the count may be too small.
+  /// Whether the list was ever read. Before that, count() may be too small.
   bool isListed() const { return HasList; }
 
 private:
-  /// Entries that are neither heard of nor listed are dropped after this time,
-  /// longer than any window.
+  /// Entries that have neither reported nor been listed for this time are
+  /// dropped. The time is longer than any window.
   static constexpr Duration KeepFor = std::chrono::hours(1);
-  /// Between a report's sending and its arrival.
+  /// Upper bound on the time between sending and receiving a report.
   static constexpr Duration ReportDelay = std::chrono::seconds(1);
 
   bool isIdle(const std::string &name, TimePoint now) const;
@@ -58,9 +61,9 @@
   }
 
   std::set<std::string> Listed;
-  /// When each entry was last heard of or listed.
+  /// When each entry last reported or was last listed.
   std::map<std::string, TimePoint> SeenAt;
-  /// When each entry without callers last reported so.
+  /// When each entry without callers last reported that it has none.
   std::map<std::string, TimePoint> IdleAt;
   TimePoint PrunedAt;
   bool HasList = false;
--- a/include/ospreyspur/Direct/GroupPaces.h
+++ b/include/ospreyspur/Direct/GroupPaces.h
@@ -1,8 +1,8 @@
-//===- GroupPaces.h - how fast groups write their streams -------*- C++ -*-===//
+//===- GroupPaces.h - inter-event gaps of each group ------------*- C++ -*-===//
 //
-// All ranks of a group step together, so the pauses in any of its streams tell
-// how long a pass of the whole group takes, whatever the reason: a slow rank, a
-// map that does not fit, or a step that is held.
+// All ranks of a group step together, so the inter-event gap of any stream
+// shows how long an engine iteration of the whole group takes. The cause may be
+// a slow rank, an expert map that does not fit, or a step that is held up.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,38 +17,41 @@
 
 namespace ospreyspur {
 
-/// The pauses seen by one entry, by group.
+/// The inter-event gaps that one entry has observed, by group.
 class GroupPaces {
 public:
   using Key = std::pair<ServiceId, GroupId>;
 
-  /// Without new events what was seen is worth half after this time: a group
-  /// that gets nothing any more is tried again.
+  /// Without new events, the observed gap halves in this time, so that a group
+  /// without any requests is tried again.
   static constexpr Duration HalfLife = std::chrono::seconds(1);
-  /// From this pause on a stream counts as silent on its own if others of its
-  /// group wrote meanwhile; below the shortest silence that moves a stream.
+  /// A stream with an idle period of at least this length is silent on its own
+  /// account if other streams of its group received events meanwhile. The value
+  /// is below the shortest idle period after which a stream is migrated.
   static constexpr Duration OwnSilence = std::chrono::milliseconds(800);
-  /// So many streams have to be silent together before they tell of the group:
-  /// one alone may have an endpoint that hangs.
+  /// Minimum number of streams that must be silent together to count as
+  /// evidence against the group. A single silent stream may be due to a hanging
+  /// endpoint.
   static constexpr unsigned StreamsThatTell = 2;
 
   // Commands.
 
-  /// A stream of the group has begun to write.
+  /// A stream of the group has started to decode.
   void onBegun(const Key &group, TimePoint now);
-  /// A stream got events, \p gap after the last ones.
+  /// A stream received events, \p gap after the previous ones.
   void onEvents(const Key &group, Duration gap, TimePoint now);
-  /// A stream that wrote has ended.
+  /// A decoding stream has ended.
   void onEnded(const Key &group);
-  /// A stream's attempt ended after it had been silent for \p silence.
+  /// A stream's attempt ended after an idle period of \p silence.
   void onSilence(const Key &group, Duration silence, TimePoint now);
 
   // Queries.
 
-  /// The pause between events to expect; zero if nothing is known.
+  /// Returns the expected inter-event gap; zero if nothing is known.
   Duration gapOf(const Key &group, TimePoint now) const;
-  /// The same, but what a single stream waits for at the moment counts for
-  /// nothing: enough to prefer other groups, not to give this one up.
+  /// Like gapOf(), but the current idle period of a group's only stream does
+  /// not count. An idle period of one stream is reason enough to prefer other
+  /// groups, but not to leave this one.
   Duration sureGapOf(const Key &group, TimePoint now) const;
 
 private:
@@ -58,7 +61,7 @@
     unsigned Writing = 0;
   };
 
-  /// What is left of the pause seen last.
+  /// Returns the last observed gap, decayed to \p now.
   static Duration fade(const Pace &pace, TimePoint now);
 
   std::map<Key, Pace> Paces;
--- a/include/ospreyspur/Direct/NodeRegistry.h
+++ b/include/ospreyspur/Direct/NodeRegistry.h
@@ -1,8 +1,9 @@
-//===- NodeRegistry.h - which of our processes run --------------*- C++ -*-===//
+//===- NodeRegistry.h - registry of running processes -----------*- C++ -*-===//
 //
-// The state machine that keeps this process's row in the platform's store under
-// a lease and reads the rows of the others. Rows that vanish are kept for a
-// while: in an outage leases lapse though the processes run on.
+// The state machine that keeps this process's record in the platform's
+// key-value store under a lease and reads the records of the other processes.
+// Records that vanish are kept for a while: in an outage leases lapse though
+// the processes are still running.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,30 +20,32 @@
 
 namespace ospreyspur {
 
-/// How the others reach one of our processes.
+/// How other processes reach one process.
 struct NodeRecord {
   std::string Name;
   DataCentreId DataCentre;
-  /// For links; "ip:port".
+  /// Address for links, as "ip:port".
   std::string LinkAddress;
-  /// For datagrams with load reports; empty if it takes none.
+  /// Address for datagrams with load reports; empty if the process accepts
+  /// none.
   std::string LoadAddress;
 
   friend bool operator==(const NodeRecord &, const NodeRecord &) = default;
 };
 
-/// Keeps the rows.
+/// Maintains this process's record and the list of the other processes.
 class NodeRegistry {
 public:
   static constexpr Duration LeaseSpan = std::chrono::seconds(6);
   static constexpr Duration RenewEvery = std::chrono::seconds(2);
-  /// Between two reads of all rows, at first and later.
+  /// Interval between two reads of all records: for the first \c FirstReads
+  /// reads, and later.
   static constexpr Duration FirstReadEvery = std::chrono::milliseconds(500);
   static constexpr Duration ReadEvery = std::chrono::seconds(3);
   static constexpr unsigned FirstReads = 6;
-  /// How long a vanished row is kept.
+  /// How long a vanished record is kept.
   static constexpr Duration KeepVanished = std::chrono::seconds(10);
-  /// Bounds of the pause after a failed write.
+  /// Bounds of the delay before a failed write is retried.
   static constexpr Duration MinPause = std::chrono::milliseconds(250);
   static constexpr Duration MaxPause = std::chrono::seconds(2);
 
@@ -50,27 +53,30 @@
 
   // Commands.
 
-  /// The call that keeps this process's row, if it is time for one.
+  /// Returns the call that writes or renews this process's record, if one is
+  /// due.
   std::optional<KvCall> nextWrite(TimePoint now);
   void onWritten(const KvReply &reply, TimePoint now);
-  /// The call that reads all rows, if it is time for one.
+  /// Returns the call that reads all records, if one is due.
   std::optional<KvCall> nextRead(TimePoint now);
-  /// True if the known nodes have changed, or are known for the first time.
+  /// Returns true if the known nodes have changed or have been read for the
+  /// first time.
   bool onRead(const KvReply &reply, TimePoint now);
 
   // Queries.
 
   TimePoint nextTimer() const { return std::min(WriteAt, ReadAt); }
-  /// The other nodes.
+  /// Returns the other nodes.
   std::vector<NodeRecord> others() const;
-  /// Whether the rows were ever read.
+  /// Whether the records were ever read.
   bool hasRead() const { return HasRead; }
 
 private:
   std::string ownKey() const;
 
   NodeRecord Self;
-  /// The own row's revision; 0 if it is not known to stand.
+  /// Revision of this process's own record; 0 if the record is not known to
+  /// exist.
   Revision Row;
   Revision Expected;
   bool IsWriting = false;
--- a/include/ospreyspur/Direct/RetryWindow.h
+++ b/include/ospreyspur/Direct/RetryWindow.h
@@ -1,14 +1,15 @@
-//===- RetryWindow.h - this entry's share of repeated arrivals --*- C++ -*-===//
+//===- RetryWindow.h - retry budget of one entry ----------------*- C++ -*-===//
 //
-// All entries together may send an endpoint's service only so many arrivals
-// beyond the first of each request in any window of time. Each entry keeps to
-// its share: a part of the fixed allowance, and a ratio of its own requests.
+// The platform limits how many arrivals beyond the first of each request all
+// entries together may send to a service in any time window. Each entry uses at
+// most its share: a part of the fixed allowance, and a ratio of its own
+// requests.
 //
 // A restarted process does not know what its predecessor spent in the same
-// window. For its first window it is limited to a part that the predecessor
-// cannot have used: a fraction of the ratio for its own requests, and of the
-// allowance in proportion to its age. The sum over any number of restarts in
-// one window stays within the entry's share.
+// window. In its first window a process therefore uses a part that the
+// predecessor cannot have used: a fraction of the ratio for its own requests,
+// and of the allowance in proportion to its age. The sum over any number of
+// restarts in one window stays within the entry's share.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,16 +25,17 @@
 
 namespace ospreyspur {
 
-/// The platform's bound on repeated arrivals.
+/// The platform's limit on retries.
 struct RetryBounds {
-  /// Repeats for each request.
+  /// Number of retries per request.
   double Ratio = 0.2;
-  /// Repeats in each window beside these, all entries together.
+  /// Number of retries per window in addition to the ratio, for all entries
+  /// together.
   double Allowance = 90;
   Duration Window = std::chrono::seconds(10);
 };
 
-/// Counts requests and repeats by service.
+/// Counts the requests and retries of each service.
 class RetryWindow {
 public:
   explicit RetryWindow(RetryBounds bounds) : Bounds(bounds) {}
@@ -41,17 +43,17 @@
   // Commands.
 
   void setBounds(const RetryBounds &bounds) { Bounds = bounds; }
-  /// The process started at \p now, perhaps as the successor of another one.
+  /// The process started at \p now, possibly as the successor of another one.
   void setBegin(TimePoint now) { Begin = now; }
-  /// Notes a new request for \p service.
+  /// Records a new request for \p service.
   void onRequest(const ServiceId &service, TimePoint now);
-  /// Takes one repeat from the share of one of \p entries entries, or from the
-  /// ratio alone if that is 0: their number is not known. False if there is
-  /// none.
+  /// Takes one retry from this entry's share of the budget for \p entries
+  /// entries. If \p entries is 0, their number is unknown and only the ratio is
+  /// used. Returns false if the budget is spent.
   bool spend(const ServiceId &service, std::size_t entries, TimePoint now);
-  /// The latest repeat has not been sent after all.
+  /// Returns the latest retry to the budget, as it was not sent after all.
   void giveBack(const ServiceId &service);
-  /// Whether spend() would take one now.
+  /// Whether spend() would succeed now.
   bool canSpend(const ServiceId &service, std::size_t entries, TimePoint now);
 
   // Queries.
@@ -59,9 +61,11 @@
   const RetryBounds &bounds() const { return Bounds; }
 
 private:
-  /// Kept below the bound, as the entries' windows are not the observer's.
+  /// Part of the limit that is used. It is below 1, as the windows of the
+  /// entries and of the platform are not aligned.
   static constexpr double SafePart = 0.7;
-  /// The same for a process's first window; the sum of both is below 1.
+  /// The part used in a process's first window. The sum of both parts is below
+  /// 1.
   static constexpr double FirstWindowPart = 0.25;
 
   struct Counts {
--- a/include/ospreyspur/Direct/WaitNote.h
+++ b/include/ospreyspur/Direct/WaitNote.h
@@ -1,6 +1,6 @@
-//===- WaitNote.h - why a request was not started ---------------*- C++ -*-===//
+//===- WaitNote.h - log record of a request that waits ----------*- C++ -*-===//
 //
-// What an entry tells in its log when a request has to wait for an endpoint.
+// The reasons that an entry logs when a request has to wait for an endpoint.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,49 +14,51 @@
 
 namespace ospreyspur {
 
-/// Why an endpoint is not used for a request.
+/// Why an endpoint cannot be used for a request.
 enum class Obstacle : std::uint8_t {
-  /// It can be used.
+  /// The endpoint can be used.
   None,
-  /// It is leaving or has left.
+  /// The endpoint is draining or has left.
   Leaving,
-  /// The request was there already.
+  /// The request has already been sent to the endpoint.
   Tried,
-  /// It said that it takes nothing, or has not told its condition yet.
+  /// The endpoint recently rejected a request as full, its address belongs to
+  /// another incarnation, or it has not reported that it accepts requests.
   Closed,
-  /// The request was turned away once, and nobody knows whether this one
-  /// serves.
+  /// The request was rejected once, and the endpoint is not known to serve at
+  /// present.
   Unproven,
-  /// The answer would not end in time there.
+  /// The response would not complete before the deadline there.
   TooSlow,
-  /// All its places are taken.
+  /// All slots of the endpoint are in use.
   Full,
-  /// It named a rate, of which this entry has nothing left at present.
+  /// The endpoint advertised a rate limit, and this entry's share of it is used
+  /// up at present.
   RateLimited,
-  /// It asked for a pause that has not ended.
+  /// The endpoint asked for a backoff that has not ended.
   Resting,
 };
 
-/// The words for obstacles in the log, in their order.
+/// The names of the obstacles in the log, in the order of Obstacle.
 inline constexpr std::array<std::string_view, 9> ObstacleWords = {
     "usable",   "leaving", "tried",        "closed", "unproven",
     "too_slow", "full",    "rate_limited", "resting"};
 
-/// Numbers of endpoints by their obstacle.
+/// Number of endpoints with each obstacle.
 using ObstacleCounts = std::array<unsigned, ObstacleWords.size()>;
 
-/// A request begins to wait for an endpoint, or its endpoint is silent and it
-/// cannot go on elsewhere.
+/// A request starts to wait for an endpoint, or its endpoint is silent and no
+/// other endpoint can take the request.
 struct WaitNote {
   CallId Call;
-  /// Requests sent for it so far.
+  /// Number of times the request has been sent.
   unsigned Arrivals = 0;
-  /// Endpoints that it may still be sent to by its route.
+  /// Number of attempts that its route still allows.
   unsigned AttemptsLeft = 0;
   bool IsSilent = false;
-  /// Whether the entry may send one more repeat to the service now.
+  /// Whether the entry's retry budget allows one more retry to the service now.
   bool HasRepeat = true;
-  /// Entries that share the allowance of repeats; 0 if that is not known.
+  /// Number of entries that share the retry allowance; 0 if unknown.
   std::size_t Entries = 0;
   ObstacleCounts Endpoints{};
 };
--- a/lib/Direct/ArrivalRate.cpp
+++ b/lib/Direct/ArrivalRate.cpp
@@ -1,4 +1,4 @@
-//===- ArrivalRate.cpp - requests a second, by service --------------------===//
+//===- ArrivalRate.cpp - requests per second, by service ------------------===//
 //
 // See ArrivalRate.h.
 //
@@ -30,6 +30,6 @@
   auto it = Counts.find(service);
   if (it == Counts.end())
     return 0;
-  // A steady rate r leaves r x half-life / ln 2 in the faded count.
+  // At a steady rate r the decayed count converges to r * HalfLife / ln 2.
   return fade(it->second, now) * std::numbers::ln2 / secondsOf(HalfLife);
 }
--- a/lib/Direct/DirectCrashes.cpp
+++ b/lib/Direct/DirectCrashes.cpp
@@ -1,7 +1,8 @@
-//===- DirectCrashes.cpp - calls under which an endpoint ended ------------===//
+//===- DirectCrashes.cpp - requests that crash endpoints ------------------===//
 //
-// The part of DirectNode that finds out whether an endpoint ended when it cut
-// an answer, and keeps requests that end endpoints away from them.
+// The part of DirectNode that finds out whether an endpoint crashed when it
+// closed a connection early, and keeps requests that crash endpoints away from
+// them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,13 +13,14 @@
 
 using namespace ospreyspur;
 
-/// Over which the turns of a suspect's copies are drawn: many times what the
-/// news of a start takes, some 15 ms; short beside the time that its caller
-/// has.
+/// Range over which the start times of a suspect request's copies are drawn. It
+/// is many times the delay of some 15 ms until other entries learn of a start,
+/// and short compared with the time until the caller's deadline.
 static constexpr Duration TurnSpread = std::chrono::milliseconds(200);
 
-/// The endpoint cut the attempt under way. Whether it has ended is asked before
-/// the request goes anywhere else: an answer that was cut alone says nothing.
+/// Handles an endpoint that closed the connection of the current attempt early.
+/// A cut connection alone does not prove a crash, so the endpoint's fate is
+/// checked before the request is sent to another endpoint.
 void DirectNode::noteCut(const CallState &call, TimePoint now) {
   const EndpointState *state = Book.find(*call.Current);
   bool isPlanned = !state || state->Record.IsLeaving || state->IsMissing;
@@ -76,9 +78,10 @@
   endQuarantined(request, now);
 }
 
-/// All ranks of a group stand still when one of them has ended, and cut what
-/// they run after a second or two. What is sent there meanwhile would wait as
-/// long to be refused; what runs there can go on elsewhere now.
+/// When one rank of a group has exited, the other ranks stall and cut their
+/// running requests after a second or two. A request sent there meanwhile would
+/// wait as long for its rejection, while those that run there can be migrated
+/// now.
 void DirectNode::leaveGroupOf(const EndpointId &id, TimePoint now) {
   for (const EndpointId &member : Book.onLifeEnded(id, now))
     for (auto &[callId, call] : Calls) {
@@ -89,7 +92,8 @@
     }
 }
 
-/// Ends that another entry saw a moment ago.
+/// Handles endpoint crashes that another entry saw within the last \c
+/// BrokenPause.
 void DirectNode::noteToldEnds(const CrashReport &report, TimePoint now) {
   std::set<LifeDigest> fresh;
   for (const CrashRow &row : report.Rows)
@@ -143,10 +147,11 @@
   return Crashes.standingOf(call.Request.Digest) == CrashStanding::Suspect;
 }
 
-/// The endpoint for a suspect; null if there is none or it is not its turn. A
-/// group that opens wakes the copies of a request at all entries at the same
-/// moment; their turns are drawn apart, so that the first one's is heard of
-/// before the next begins.
+/// Returns the endpoint for a suspect request; null if there is none or the
+/// request's start time has not come. When a group becomes available, the
+/// copies of a request wake up at all entries at the same moment. Random start
+/// times let the other entries learn of the first start before the next copy
+/// starts.
 const EndpointState *DirectNode::pickForSuspect(CallState &call,
                                                 TimePoint now) {
   bool isPressing = Crashes.crashesOf(call.Request.Digest) > 1;
@@ -163,9 +168,10 @@
   return now < *call.TurnAt ? nullptr : state;
 }
 
-/// Whether the call has to wait though there may be room: what became of its
-/// last endpoint is being asked or judged, or it is a suspect that runs
-/// already. One at a time, so that no more endpoints end than it takes to know.
+/// Whether the call has to wait though there may be capacity: the fate of its
+/// last endpoint is still being checked or evaluated, or the request is suspect
+/// and already running. Only one copy of a suspect request runs at a time, so
+/// that no more endpoints crash than are needed for a verdict.
 bool DirectNode::mustStandBack(const CallState &call, TimePoint now) const {
   RequestDigest request = call.Request.Digest;
   for (const auto &[id, runs] : Checks)
@@ -182,8 +188,9 @@
   return runsHere || Crashes.runsElsewhere(request, now);
 }
 
-/// The endpoints at which suspects other than \p call's request run: a second
-/// one there could not be told from the first if the endpoint ended.
+/// Returns the endpoints that run suspect requests other than \p call's. If an
+/// endpoint crashed while running two suspects, the crash could not be
+/// attributed to either of them.
 std::set<LifeDigest> DirectNode::livesOfSuspects(const CallState &call,
                                                  TimePoint now) const {
   std::set<LifeDigest> out = Crashes.livesOfOthers(call.Request.Digest, now);
@@ -197,9 +204,9 @@
   return out;
 }
 
-/// Gives every call of \p request its final answer at once. What is under way
-/// may not have begun at its endpoint yet: it is stopped unless that would
-/// leave its caller in doubt.
+/// Ends every call of \p request at once. An attempt in progress may not have
+/// started at its endpoint yet, so the attempt is stopped unless that would
+/// leave its caller uncertain whether the request ran.
 void DirectNode::endQuarantined(RequestDigest request, TimePoint now) {
   std::vector<CallId> waiting;
   for (auto &[id, call] : Calls) {
--- a/lib/Direct/DirectMoves.cpp
+++ b/lib/Direct/DirectMoves.cpp
@@ -1,7 +1,8 @@
-//===- DirectMoves.cpp - calls that go on at another endpoint -------------===//
+//===- DirectMoves.cpp - migration of requests ----------------------------===//
 //
-// The part of DirectNode that takes an attempt away from an endpoint that is
-// silent or too slow. An attempt is stopped only once its successor is sure.
+// The part of DirectNode that migrates requests away from endpoints that are
+// silent or too slow. An attempt is stopped only once the capacity for its
+// successor is reserved.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +27,8 @@
   return takeActions();
 }
 
-/// Whether a stream would not end in time where it is.
+/// Whether a resumable stream cannot complete before its deadline at its
+/// current endpoint.
 bool DirectNode::isTooSlow(const CallState &call, TimePoint now) const {
   const ServiceRule *service = call.Request.Config->findService(call.Service);
   const EndpointState *state = Book.find(*call.Current);
@@ -34,10 +36,10 @@
          state && !Picker.canFinish(*state, call, now);
 }
 
-/// Stops the attempt under way if the call can surely go on elsewhere: the
-/// place there and the repeat are taken here and now. Where either was only
-/// looked at, many streams were broken off for the same one, and those that
-/// came too late were cut.
+/// Stops the current attempt if the call is certain to continue at another
+/// endpoint: a slot there and a retry from the budget are reserved first. When
+/// both were only looked up, many streams were stopped for the same slot, and
+/// those that found the slot taken were cut.
 bool DirectNode::tryMove(CallState &call, MoveReason reason, TimePoint now) {
   if (!Rates.isEmpty())
     refreshMembers(now);
@@ -63,8 +65,9 @@
   return true;
 }
 
-/// Goes on where a place was taken for the call. Returns false if there is
-/// none, the endpoint has begun to leave since or the time is over.
+/// Starts the next attempt at the endpoint where a slot is reserved for the
+/// call. Returns false if no slot is reserved, the endpoint no longer accepts
+/// requests, or the deadline has passed.
 bool DirectNode::goOn(CallState &call, TimePoint now) {
   if (!call.Next)
     return false;
--- a/lib/Direct/DirectNode.cpp
+++ b/lib/Direct/DirectNode.cpp
@@ -12,12 +12,12 @@
 
 using namespace ospreyspur;
 
-/// How long a request whose endpoint cut it may wait to hear what became of the
-/// endpoint, however long it has waited before: the question takes 0.3 s at
-/// most and the judgement 0.1 s.
+/// How long a request whose endpoint cut the connection may wait for the
+/// endpoint's fate to be known, regardless of how long it has already waited.
+/// The check takes at most 0.3 s and the evaluation 0.1 s.
 static constexpr Duration FateWait = std::chrono::milliseconds(500);
 
-/// Weight of the newest first byte in the running mean.
+/// Weight of the latest sample in the running mean of the time to first byte.
 static constexpr double FirstByteWeight = 0.1;
 
 DirectNode::DirectNode(DataCentreId dataCentre, DirectLimits limits,
@@ -120,7 +120,8 @@
     noteCut(call, now);
   if (end == AttemptEnd::Complete || end == AttemptEnd::Failed)
     Crashes.onWhole(call.Request.Digest, now);
-  // What the endpoint asked for says by itself when it may be sent there.
+  // The endpoint's rate limit, backoff or draining state decides when the
+  // request may be sent there again.
   if (end == AttemptEnd::Withheld)
     call.Tried.erase(*call.Current);
   endAttempt(call);
@@ -131,22 +132,22 @@
     break;
   case AttemptEnd::Full:
     call.WasTurnedAway = true;
-    // It did not run there. Cutting a caller in the middle for it would cost
-    // more than the repeat that it takes anyway: when a group breaks, its other
-    // ranks refuse what broke off.
+    // The request did not run there. When a group breaks, its other ranks
+    // reject the streams that broke off; cutting those callers in mid-stream
+    // would cost more than the retry that this takes anyway.
     if (call.HasBegun)
       --call.Attempts;
     retry(call, ResultCode::QueueFull, now);
     break;
   case AttemptEnd::OtherEndpoint:
-    // The endpoint that was meant has not seen it.
+    // The intended endpoint has not received the request.
     --call.Attempts;
     retry(call, ResultCode::EndpointLeaving, now);
     break;
   case AttemptEnd::NeverSent:
   case AttemptEnd::Withheld:
     --call.Attempts;
-    // What was not sent is no repeat.
+    // An attempt that was not sent is not a retry.
     if (--call.Arrivals > 0)
       Retries.giveBack(call.Service);
     if (!goOn(call, now))
@@ -228,7 +229,8 @@
   return next;
 }
 
-/// Starts an attempt if there is room; else the call waits for it.
+/// Starts an attempt if there is capacity; otherwise the call waits or is
+/// ended.
 void DirectNode::startOrWait(CallState &call, TimePoint now) {
   if (tryStart(call, now))
     return;
@@ -280,15 +282,15 @@
   return true;
 }
 
-/// Entries that share the allowance of repeats; 0 as long as it is not known
-/// how many there may be.
+/// Returns the number of entries that share the retry allowance; 0 while their
+/// number is unknown.
 std::size_t DirectNode::entriesToShare(TimePoint now) const {
   if (MustKnowFleet && !Fleet.isListed())
     return 0;
   return Fleet.count(Retries.bounds().Window, now);
 }
 
-/// Sends the request to \p endpoint, where its place is taken.
+/// Sends the request to \p endpoint, where a slot is reserved for it.
 void DirectNode::begin(CallState &call, const EndpointRecord &endpoint,
                        TimePoint now) {
   ++call.Attempts;
@@ -303,8 +305,10 @@
                                 call.Attempts, call.Silence});
 }
 
-/// Gives room that has come free to the calls that wait for it. In a backlog,
-/// serving in the order of arrival would make every call late.
+/// Assigns freed capacity to waiting calls. Calls that can still be within
+/// their latency target go first, then calls to be migrated from silent
+/// endpoints, then the rest. In a backlog, serving strictly in order of arrival
+/// would make every call late.
 void DirectNode::startWaiting(TimePoint now) {
   startWaiting(true, now);
   for (CallId id : std::vector<CallId>(Silent.begin(), Silent.end()))
@@ -329,9 +333,9 @@
 }
 
 /// The call did not run, or may run again: tries another endpoint, or waits for
-/// one. When a group breaks there may be no room for all of its streams at
-/// once; cutting those would send their callers round again, and each may come
-/// back only once.
+/// one. When a group breaks, the other endpoints may not have capacity for all
+/// of its streams at once. If those streams were cut, their callers would send
+/// them again, and each caller may retry only once.
 void DirectNode::retry(CallState &call, ResultCode reason, TimePoint now) {
   if (Crashes.standingOf(call.Request.Digest) == CrashStanding::Quarantined) {
     end(call, ResultCode::RequestQuarantined, Duration::zero());
@@ -353,7 +357,7 @@
     end(call, reason, Duration::zero());
 }
 
-/// Ends \p call with the truth: "not run" only if no attempt may have run.
+/// Ends \p call. The result is "not run" only if no attempt may have run.
 void DirectNode::endNotRun(CallState &call, ResultCode code, TimePoint now) {
   if (call.MayHaveRun)
     end(call, ResultCode::ContactLost, Duration::zero());
@@ -391,7 +395,7 @@
     Book.onSuccess(id, now);
     break;
   case AttemptEnd::Full:
-    // An endpoint that said for how long needs no guess.
+    // A backoff that the endpoint asked for replaces the guessed interval.
     if (!isResting(id, now))
       Book.onFull(id, now);
     break;
@@ -406,8 +410,8 @@
   case AttemptEnd::NeverSent:
   case AttemptEnd::Lost:
   case AttemptEnd::BrokeOff:
-    // Silence has been noted; what was stopped here, or by the end of the
-    // caller's time, is no sign of a failure.
+    // The idle period of a silent attempt has already been recorded. An attempt
+    // that was stopped here or by its deadline is no sign of a failure.
     if (!call.IsSilent && !call.IsStopping && now < call.Deadline)
       Book.onFailure(id, now);
     if (now - call.HeardAt >= call.Silence)
--- a/lib/Direct/DirectPushback.cpp
+++ b/lib/Direct/DirectPushback.cpp
@@ -1,7 +1,8 @@
-//===- DirectPushback.cpp - endpoints that ask for less -------------------===//
+//===- DirectPushback.cpp - limits that endpoints ask for -----------------===//
 //
-// The part of DirectNode that keeps to what endpoints ask for in their answers,
-// and turns callers away at once when no endpoint can serve them in time.
+// The part of DirectNode that follows the rate limits, backoffs and draining
+// announcements in the endpoints' responses, and refuses callers at once when
+// no endpoint can serve them in time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,17 +13,19 @@
 
 using namespace ospreyspur;
 
-/// How often the members of the fleet are counted anew while they matter.
+/// Interval at which the members of the fleet are counted again while rate
+/// limits are in force.
 static constexpr Duration MembersAge = std::chrono::milliseconds(200);
-/// Without a call for this long an entry counts as one without callers.
+/// An entry without a call for this long counts as having no callers.
 static constexpr Duration IdleAfter = std::chrono::seconds(3);
-/// Until all others have heard that an entry has callers again, and it has
-/// heard of those who got some at the same time.
+/// Time until all other entries know that this entry has callers again, and
+/// this entry knows of those that got callers at the same time.
 static constexpr Duration ActiveSettleTime = std::chrono::seconds(1);
-/// How long an entry that begins asks the others for what they know.
+/// How long a starting entry asks the others for the rate limits that they
+/// know.
 static constexpr Duration NewTime = std::chrono::seconds(1);
-/// Bounds of the time after which a refused caller should come back, and the
-/// longest one where that is what endpoints asked for.
+/// Bounds of the time after which a refused caller should retry, and the upper
+/// bound where endpoints asked for the wait.
 static constexpr Duration MinRetryAfter = std::chrono::milliseconds(150);
 static constexpr Duration MaxRetryAfter = std::chrono::seconds(2);
 static constexpr Duration MaxAskedRetryAfter = std::chrono::seconds(10);
@@ -64,7 +67,7 @@
   bool mayLift = sentAt && asked.Malformed.empty();
   if (asked.RequestsPerSecond || (mayLift && Rates.isKnown(state->Life))) {
     refreshMembers(now);
-    // Without a time it can make a limit stricter only.
+    // Without a send time the response can only lower a limit.
     Rates.onAnswer(state->Life, asked.RequestsPerSecond,
                    sentAt.value_or(TimePoint()), now);
   }
@@ -95,7 +98,8 @@
   return takeActions();
 }
 
-/// What endpoints take has changed, mostly to less.
+/// Serves and ends waiting calls after the limits of endpoints changed, usually
+/// to lower values.
 void DirectNode::onLessRoom(TimePoint now) {
   if (Waiting.empty())
     return;
@@ -128,8 +132,9 @@
   return state && Closed.isResting(state->Life, now);
 }
 
-/// What keeps the call from each endpoint that it may go to, if that is what
-/// the endpoints asked for; else Ok.
+/// Returns why the call is held back if every endpoint that it may use is
+/// excluded by a rate limit or a backoff that the endpoint asked for; otherwise
+/// Ok.
 ResultCode DirectNode::heldBackBy(const CallState &call, TimePoint now) const {
   bool isNoneAsked = Rates.limitedCount() == 0 && Closed.isEmpty();
   if (isNoneAsked || call.HasBegun)
@@ -149,8 +154,9 @@
                                         : ResultCode::Ok;
 }
 
-/// Whether such a call cannot be started before its wait ends: the pauses last
-/// longer, and what this entry may send by then is spoken for.
+/// Whether a call held back by its endpoints' requests cannot be started before
+/// its wait ends: the backoffs last longer, and what this entry may send by
+/// then is used up by the calls that wait.
 bool DirectNode::isHopeless(const CallState &call, TimePoint now) const {
   if (heldBackBy(call, now) == ResultCode::Ok)
     return false;
@@ -169,7 +175,8 @@
   return double(waitingFor(call.Service) + (waits ? 0 : 1)) > room;
 }
 
-/// Of those who wait the last ones go first.
+/// Ends the waiting calls that cannot be served in time, the last in the queue
+/// first.
 void DirectNode::endHopeless(TimePoint now) {
   if (Rates.limitedCount() == 0 && Closed.isEmpty())
     return;
@@ -181,8 +188,9 @@
       endNotRun(call, ResultCode::NoEndpoint, now);
 }
 
-/// When a refused caller may find room: the calls that wait before it, at the
-/// rate at which a full fleet of that service gets free.
+/// Returns when a refused caller may find capacity: the time to serve all
+/// waiting calls, at the rate at which a fully loaded service completes
+/// requests.
 Duration DirectNode::expectedDrain(const CallState &call, TimePoint now) const {
   unsigned running = 0;
   for (const auto &[id, state] : Book.states())
@@ -190,17 +198,17 @@
       running += Book.totalLoad(state, now).Running;
   if (running == 0)
     return MinRetryAfter;
-  // A request takes a second or two at an engine; its target is the only
-  // figure at hand that scales with it.
+  // A request runs for a second or two at an engine. The route's latency target
+  // is the only available figure that scales with this time.
   Duration each = call.Request.Route->Target * 4 / running;
   auto n = static_cast<std::int64_t>(Waiting.size() + 1);
   return std::clamp(each * n, MinRetryAfter, MaxRetryAfter);
 }
 
-/// When a caller whom no endpoint can serve now should return, so that callers
-/// who were turned away together do not return together: around the time in
-/// which this entry's part of the named rates takes those who come, or past the
-/// end of the first pause.
+/// Returns when a caller that no endpoint can serve now should retry. The time
+/// is drawn at random, so that callers that were refused together do not return
+/// together: around the time that this entry's share of the advertised rates
+/// takes to serve them, or after the end of the first backoff.
 Duration DirectNode::expectedRoom(const CallState &call, TimePoint now) {
   double rate = 0;
   for (const EndpointState *it : Picker.statesOf(call.Service))
@@ -209,7 +217,7 @@
   if (rate == 0)
     return expectedRestEnd(call, now);
   double own = rate / double(Rates.memberCount());
-  // Each of the others who were turned away lately wants a turn, too.
+  // The other callers that were recently refused need to be served as well.
   double ahead = std::max(1.0, Arrivals.perSecond(call.Service, now));
   auto mean = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(ahead / own));
@@ -217,8 +225,9 @@
   return draw(mean / 2, mean * 3 / 2);
 }
 
-/// Spread over what the endpoints whose pauses end first need for those who
-/// will have been turned away by then.
+/// Returns a random time after the first backoff ends, spread over the time
+/// that the endpoints need to serve the callers that will have been refused by
+/// then.
 Duration DirectNode::expectedRestEnd(const CallState &call, TimePoint now) {
   std::optional<TimePoint> first;
   unsigned slots = 0;
@@ -232,8 +241,8 @@
   Duration left = first ? *first - now : Duration::zero();
   double turnedAway = Arrivals.perSecond(call.Service, now) *
                       std::chrono::duration<double>(left).count();
-  // A request takes a second or two at an engine; its target is the only figure
-  // at hand that scales with it.
+  // A request runs for a second or two at an engine. The route's latency target
+  // is the only available figure that scales with this time.
   double each =
       std::chrono::duration<double>(call.Request.Route->Target).count();
   double entries = double(Book.livePeers(now) + 1);
--- a/lib/Direct/DirectQuestions.cpp
+++ b/lib/Direct/DirectQuestions.cpp
@@ -1,7 +1,7 @@
-//===- DirectQuestions.cpp - asking endpoints for their condition ---------===//
+//===- DirectQuestions.cpp - status queries to endpoints ------------------===//
 //
-// The part of DirectNode that asks engines whether they take requests and how
-// fast they work.
+// The part of DirectNode that queries engines for whether they accept requests
+// and for their slowdown factors.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,7 +31,8 @@
     Out.emplace_back(AskEndpoint{std::move(it)});
 }
 
-/// A question reaches an endpoint as a request does.
+/// Whether a status query may be sent to the endpoint. A query counts toward
+/// the endpoint's limits like a request.
 bool DirectNode::mayAsk(const EndpointState &state, TimePoint now) {
   if (isClosed(state, now))
     return false;
--- a/lib/Direct/EndpointBook.cpp
+++ b/lib/Direct/EndpointBook.cpp
@@ -1,7 +1,7 @@
 //===- EndpointBook.cpp - load and health of each endpoint ----------------===//
 //
-// See EndpointBook.h. Endpoints with requests under way are kept until these
-// end, though the list no longer has them.
+// See EndpointBook.h. An endpoint that the list no longer contains is kept
+// until its running requests have ended.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +12,8 @@
 
 using namespace ospreyspur;
 
-/// Doubling stops here; the longest suspicion is reached before.
+/// Upper bound on the number of doublings. The longest suspicion time is
+/// reached before.
 static constexpr unsigned MaxDoublings = 10;
 
 static GroupPaces::Key groupKey(const EndpointState &state) {
@@ -24,8 +25,8 @@
   for (const ListedEndpoint &it : endpoints) {
     auto [at, isNew] = States.try_emplace(it.Record.Id);
     EndpointState &state = at->second;
-    // Requests to a group that is being formed would be turned away, and each
-    // counts toward the bound on repeats.
+    // A group that is being formed would reject requests, and each rejection
+    // leads to a retry, which the retry budget limits.
     if (isNew) {
       state.MustTell = it.Record.TellsState;
       state.Life = digestLife(it.Record.Id);
@@ -121,7 +122,7 @@
 
 void EndpointBook::onFailure(const EndpointId &id, TimePoint now) {
   EndpointState *it = findMutable(id);
-  // What fails together is one failure.
+  // Failures during the suspicion time count as one failure.
   if (!it || now < it->SuspectUntil)
     return;
   Duration pause = FirstSuspicion * (1U << it->FailuresInRow);
@@ -236,7 +237,8 @@
                                 std::mt19937_64 &random) {
   std::vector<EndpointRecord> out;
   std::size_t others = livePeers(now);
-  // Two turns of all entries make PaceEvery the mean between two questions.
+  // Each entry's interval is uniform in [0, 2 * PaceEvery * entries], so the
+  // mean interval between the queries of all entries is PaceEvery.
   Duration turns = others > 0 ? 2 * PaceEvery * int(others + 1) : Duration();
   std::uniform_int_distribution<Duration::rep> turn(0, turns.count());
   for (auto &[id, state] : States) {
@@ -287,7 +289,8 @@
   bool isFull = condition->Running >= told->Record.Slots;
   if (condition->IsOpen && isFull)
     pauseFull(*told, now);
-  // Its group's state is every rank's, its load is its own.
+  // Whether the group accepts requests is the same for all its ranks; the load
+  // is the endpoint's own.
   for (EndpointState *it : groupOf(*told)) {
     it->MustTell = !condition->IsOpen;
     it->AskAt = std::max(now + askPause(now), it->UnansweredUntil);
@@ -296,9 +299,9 @@
     told->ProvenAt = now;
 }
 
-/// One without an answer says nothing of its group: another one of it is asked
-/// at once. Where only this entry cannot reach it, the group would otherwise
-/// stay closed here for as long.
+/// A status query without a response says nothing about the group, so another
+/// member is queried at once. Otherwise a group of which only this one endpoint
+/// is unreachable would stay closed to this entry for as long.
 void EndpointBook::onUnanswered(EndpointState &asked, TimePoint now) {
   onFailure(asked.Record.Id, now);
   asked.AskAt = now + askPause(now);
@@ -316,7 +319,7 @@
   return AskPause * ((entries + AskersPerPause - 1) / AskersPerPause);
 }
 
-/// \p state and the other endpoints of its group.
+/// Returns \p state and the other endpoints of its group.
 std::vector<EndpointState *> EndpointBook::groupOf(EndpointState &state) {
   if (state.Group.get().empty())
     return {&state};
--- a/lib/Direct/EndpointDocument.cpp
+++ b/lib/Direct/EndpointDocument.cpp
@@ -1,6 +1,6 @@
-//===- EndpointDocument.cpp - the endpoint list as one text ---------------===//
+//===- EndpointDocument.cpp - endpoint list as a JSON document ------------===//
 //
-// A JSON array with an object for each endpoint.
+// The document is a JSON array with one object per endpoint.
 //
 //===----------------------------------------------------------------------===//
 
@@ -42,7 +42,7 @@
   return ec ? 0 : n;
 }
 
-/// \p fallback stands for a field that earlier versions do not write.
+/// Returns \p fallback for a field that earlier versions do not write.
 static bool flagOf(const json::object &in, const char *name, bool fallback) {
   const json::value *it = in.if_contains(name);
   return it && it->is_bool() ? it->get_bool() : fallback;
--- a/lib/Direct/EndpointList.cpp
+++ b/lib/Direct/EndpointList.cpp
@@ -11,7 +11,7 @@
 
 using namespace ospreyspur;
 
-/// The latest row of each address.
+/// Returns the latest revision among the records of each address.
 static std::map<TcpAddress, Revision>
 findLatest(const std::vector<EndpointRecord> &records) {
   std::map<TcpAddress, Revision> out;
@@ -32,7 +32,7 @@
     names.insert(it.Name);
     Rows[it.Id] = {it, std::nullopt};
   }
-  // What has a successor, under its name or at its address, has ended.
+  // An endpoint with a successor under its name or at its address has exited.
   std::erase_if(Rows, [&](const auto &it) {
     const EndpointRecord &record = it.second.Record;
     return !present.contains(it.first) &&
--- a/lib/Direct/EndpointPicker.cpp
+++ b/lib/Direct/EndpointPicker.cpp
@@ -1,4 +1,4 @@
-//===- EndpointPicker.cpp - the endpoint for a request --------------------===//
+//===- EndpointPicker.cpp - picks an endpoint for a request ---------------===//
 //
 // See EndpointPicker.h.
 //
@@ -14,14 +14,14 @@
 
 using namespace ospreyspur;
 
-/// How old what another entry tells of its load is when a request is sent by
-/// it: reports are gathered for 8 ms, and the way and a wake-up on a busy host
-/// take some more.
+/// Age of another entry's load report when this entry sends a request based on
+/// it. Reports are batched for 8 ms; transport and the wake-up on a busy host
+/// take a few more.
 static constexpr Duration ReportDelay = std::chrono::milliseconds(12);
 
-/// The least loaded one of some endpoints with room, drawn at random. Suspect
-/// and missing ones and those of a group that is slow or stands are used only
-/// if there is no other at all.
+/// Returns the least loaded endpoint of a random sample of those with capacity.
+/// Suspect and missing endpoints and those of slow or stalled groups are used
+/// only if there is no other.
 const EndpointState *EndpointPicker::pick(const CallState &call,
                                           TimePoint now) const {
   std::vector<const EndpointState *> states = statesOf(call.Service);
@@ -52,7 +52,7 @@
                           TimePoint now) const {
   std::vector<const EndpointState *> states = statesOf(call.Service);
   std::vector<const EndpointState *> usable;
-  // All ranks of a group stand still when one of them ends.
+  // All ranks of a group stall when one of them crashes.
   std::map<GroupId, unsigned> running;
   for (const EndpointState *it : states) {
     bool isShared = others.contains(it->Life);
@@ -62,7 +62,8 @@
     usable.push_back(it);
     running[it->Group] = 0;
   }
-  // While all are closed this is asked with each event.
+  // Returns early, as this function is called with each event while all
+  // endpoints are closed.
   if (usable.empty())
     return nullptr;
   for (const EndpointState *it : states)
@@ -90,11 +91,13 @@
   return out;
 }
 
-/// Requests that other entries send before they can be heard of would all go
-/// to the one that looks the least loaded: with 52 entries and some five such
-/// requests, 68 of 2,511 came to a full endpoint in a model on virtual time
-/// with a third of all places free; now fewer than one in 500. So the choice is
-/// among as many as leave each of them one of its own.
+/// Returns the number of endpoints to sample. The requests that other entries
+/// send before this entry receives their load reports would all go to the
+/// endpoint with the lowest reported load. With 52 entries and some five such
+/// requests, 68 of 2,511 requests came to a full endpoint in a simulation with
+/// a third of all slots free; with sampling fewer than one in 500. The sample
+/// is therefore small enough that each of these requests finds an endpoint of
+/// its own.
 std::size_t EndpointPicker::sampleSize(const ServiceId &service,
                                        std::size_t endpoints,
                                        TimePoint now) const {
@@ -122,7 +125,7 @@
     return Obstacle::Resting;
   if (now < state.FullUntil || now < state.ReplacedUntil || state.MustTell)
     return Obstacle::Closed;
-  // A refusal costs a stream that has begun no attempt.
+  // A rejection does not count as an attempt of a stream that has begun.
   if (call.WasTurnedAway && !call.HasBegun &&
       now - state.ProvenAt > Limits.ProvenTime)
     return Obstacle::Unproven;
@@ -131,7 +134,8 @@
   if (isEngine && !canFinish(state, call, now))
     return Obstacle::TooSlow;
   double limit = state.Record.Slots * (isEngine ? 1.0 : Limits.PlainOverload);
-  // All ranks of a group wait for the slowest: it gets as much less.
+  // All ranks of a group wait for the slowest one, so a slow rank's share of
+  // requests is reduced by its slowdown factor.
   bool isFull = Book.totalLoad(state, now).Running >=
                 limit / EndpointBook::paceOf(state, now);
   if (isFull)
@@ -149,8 +153,8 @@
   return out;
 }
 
-/// Whether the rest of a usual answer would come within the call's time: where
-/// it would not, the request only makes others slower.
+/// Whether the rest of a response of usual length would arrive before the
+/// call's deadline. Where it would not, the request only slows down others.
 bool EndpointPicker::canFinish(const EndpointState &state,
                                const CallState &call, TimePoint now) const {
   const ServiceRule *service = call.Request.Config->findService(call.Service);
@@ -158,15 +162,16 @@
   unsigned tokens = engine.UsualAnswer;
   if (call.Request.Tokens.Answer > 0)
     tokens = std::min(tokens, call.Request.Tokens.Answer);
-  // At least one more is always to come.
+  // At least one more event is always expected.
   unsigned parts = std::max(tokens / engine.StepsPerPass, call.Parts + 1);
   return Book.sureGapOf(state, now) * (parts - call.Parts) <
          call.Deadline - now;
 }
 
-/// What the load at an endpoint adds to each of its passes, in seconds; for a
-/// plain service the part of its slots in use. How long the group's passes take
-/// now is left out: it follows from the map, which changes as fast.
+/// Returns the time in seconds that the load at an endpoint adds to each of its
+/// engine iterations; for a service without an engine, the fraction of slots in
+/// use. The current duration of the group's iterations is left out: it depends
+/// on the expert map, which changes just as fast.
 double EndpointPicker::costOf(const EndpointState &state, const CallState &call,
                               TimePoint now) const {
   EndpointLoad load = Book.totalLoad(state, now);
--- a/lib/Direct/EventCutter.cpp
+++ b/lib/Direct/EventCutter.cpp
@@ -1,4 +1,4 @@
-//===- EventCutter.cpp - whole events out of a stream of bytes ------------===//
+//===- EventCutter.cpp - splits a byte stream into events -----------------===//
 //
 // An event ends with an empty line. Lines end with LF or CR LF.
 //
@@ -8,7 +8,7 @@
 
 using namespace ospreyspur;
 
-/// The length of the whole events that \p text begins with.
+/// Returns the length of the complete events at the start of \p text.
 static std::size_t wholeLength(std::string_view text) {
   std::size_t lf = text.rfind("\n\n");
   std::size_t crlf = text.rfind("\n\r\n");
--- a/lib/Direct/FleetConfig.cpp
+++ b/lib/Direct/FleetConfig.cpp
@@ -1,6 +1,6 @@
-//===- FleetConfig.cpp - looking up routes and services -------------------===//
+//===- FleetConfig.cpp - lookup of routes and services --------------------===//
 //
-// A deployment has some hundred routes; a scan costs microseconds.
+// A deployment has about a hundred routes, so a linear scan takes microseconds.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Direct/GroupPaces.cpp
+++ b/lib/Direct/GroupPaces.cpp
@@ -1,4 +1,4 @@
-//===- GroupPaces.cpp - how fast groups write their streams ---------------===//
+//===- GroupPaces.cpp - inter-event gaps of each group --------------------===//
 //
 // See GroupPaces.h.
 //
@@ -11,13 +11,14 @@
 
 using namespace ospreyspur;
 
-/// Weight of the newest pause in the running mean; an entry sees some hundred a
-/// second of a busy group.
+/// Weight of the latest gap in the running mean. An entry observes some hundred
+/// gaps per second of a busy group.
 static constexpr double NewestWeight = 0.05;
 
 void GroupPaces::onBegun(const Key &group, TimePoint now) {
   Pace &pace = Paces[group];
-  // What was forgotten meanwhile must not come back.
+  // Applies the decay of the idle time now, so that setting the new time below
+  // does not undo it.
   if (pace.Writing == 0)
     pace.Gap = fade(pace, now);
   ++pace.Writing;
@@ -26,7 +27,8 @@
 
 void GroupPaces::onEvents(const Key &group, Duration gap, TimePoint now) {
   Pace &pace = Paces[group];
-  // Others wrote while this stream was silent: that was its own matter.
+  // Other streams of the group received events while this one was silent, so
+  // the gap is due to this stream alone.
   bool isOwn = gap >= OwnSilence && now - pace.At < gap / 2;
   if (isOwn) {
     pace.At = now;
@@ -48,9 +50,10 @@
   Pace &pace = Paces[group];
   if (pace.Writing < StreamsThatTell)
     return;
-  // All ranks of a group step together, so it is as silent as the least silent
-  // of its streams; a longer silence is the stream's own. Taken for the
-  // group's, one of 0.9 s had dozens of sound streams broken off.
+  // All ranks of a group step together, so the group has been silent only as
+  // long as the least silent of its streams. A longer idle period is the
+  // stream's own. When an idle period of 0.9 s of one stream was taken for the
+  // group's, dozens of healthy streams were stopped.
   pace.Gap = std::max(pace.Gap, std::min(silence, now - pace.At));
   pace.At = now;
 }
@@ -60,7 +63,8 @@
   if (it == Paces.end())
     return Duration::zero();
   const Pace &pace = it->second;
-  // Streams are open and none got anything: the group stands for as long.
+  // Streams are open and none received anything, so the group has been stalled
+  // for this long.
   if (pace.Writing > 0)
     return std::max(pace.Gap, now - pace.At);
   return fade(pace, now);
--- a/lib/Direct/NodeRegistry.cpp
+++ b/lib/Direct/NodeRegistry.cpp
@@ -1,6 +1,6 @@
-//===- NodeRegistry.cpp - which of our processes run ----------------------===//
+//===- NodeRegistry.cpp - registry of running processes -------------------===//
 //
-// A row is a JSON object; a row that cannot be read is passed over.
+// A record is a JSON object; one that cannot be parsed is skipped.
 //
 //===----------------------------------------------------------------------===//
 
@@ -58,7 +58,8 @@
     WriteAt = now + RenewEvery;
     return;
   }
-  // A row of an earlier life stands in the way, or the own one is gone.
+  // Either a record of an earlier incarnation is in the way, or this process's
+  // own record is gone.
   bool isRowGone = Row.get() > 0 && reply.Code == ResultCode::NotFound;
   if (isRowGone)
     Row = Expected = Revision(0);
--- a/lib/Direct/RetryWindow.cpp
+++ b/lib/Direct/RetryWindow.cpp
@@ -1,4 +1,4 @@
-//===- RetryWindow.cpp - this entry's share of repeated arrivals ----------===//
+//===- RetryWindow.cpp - retry budget of one entry ------------------------===//
 //
 // See RetryWindow.h.
 //
