--- a/include/ospreyspur/Direct/CallState.h
+++ b/include/ospreyspur/Direct/CallState.h
@@ -26,8 +26,7 @@
   /// target.
   TimePoint OnTimeUntil;
   TimePoint WaitUntil;
-  /// Number of attempts that count toward the route's limit: those that may
-  /// have run, and those rejected as full before the response had begun.
+  /// Endpoints that may have run it or said that they were full.
   unsigned Attempts = 0;
   /// Number of times the request was sent, including to addresses that another
   /// incarnation had taken over.
--- a/unittests/Direct/DirectCallsTest.cpp
+++ b/unittests/Direct/DirectCallsTest.cpp
@@ -1,7 +1,8 @@
-//===- DirectCallsTest.cpp - one request is no fact about others ----------===//
+//===- DirectCallsTest.cpp - effects of one call on others ----------------===//
 //
-// What happens to one request or endpoint says nothing of the others, and what
-// was taken for a call is used for it or given back.
+// The outcome at one request or endpoint must not be taken for that of others,
+// and slots and retries that were reserved for a call must be used for it or
+// released.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +19,8 @@
 
 static constexpr Duration Step = milliseconds(50);
 
-TEST_CASE("a stream that goes on after its own silence slows no group") {
+TEST_CASE("a stream that resumes after its own idle period does not make its "
+          "group slow") {
   TwoGroupWorld world;
   auto config = std::make_shared<FleetConfig>(*world.Config);
   config->Services.at(ServiceId("s")).Engine->UsualAnswer = 600;
@@ -41,19 +43,19 @@
     }
   };
   write(4, true);
-  write(50, false); // 2.5 s; the others of its group write all the time
+  write(50, false); // 2.5 s; the other streams receive events
   write(2, true);
   for (const auto &[id, state] : world.Node.book().states())
     CHECK(world.Node.book().gapOf(state, world.Now) < 2 * Step);
   CHECK(stopped == 0);
 }
 
-TEST_CASE("a stream that hangs does not close its group for as long") {
+TEST_CASE("a hanging stream does not close its group while it hangs") {
   TwoGroupWorld world;
   std::string group = world.start(1);
   REQUIRE_FALSE(group.empty());
   world.Node.onFirstByte(CallId(1), world.Now);
-  // The other group leaves.
+  // The other group is draining.
   for (ListedEndpoint &it : world.Listed)
     it.Record.IsLeaving = it.Record.Id.get().substr(0, 1) != group;
   world.Node.setEndpoints(world.Listed);
@@ -65,11 +67,11 @@
     isServed = isServed || !world.start(id).empty() ||
                countOf<StartAttempt>(world.Node.onTimer(world.Now)) > 0;
   }
-  // Seven of eight places are free; none was ever tried.
+  // Seven of eight slots are free, and none of them was ever tried.
   CHECK(isServed);
 }
 
-TEST_CASE("a full endpoint closes itself and not its group") {
+TEST_CASE("a full endpoint does not close its whole group") {
   TwoGroupWorld world;
   std::string group = world.start(1);
   DirectActions refused = world.end(1, AttemptEnd::Full);
@@ -83,7 +85,7 @@
       CHECK_FALSE(state.MustTell);
 }
 
-TEST_CASE("streams that fall silent at once are one failure") {
+TEST_CASE("streams that fall silent at the same time count as one failure") {
   NodeWorld world(1, makeRoute(RequestKind::Stream, 2, true));
   for (std::uint64_t id : {1, 2}) {
     REQUIRE(only<StartAttempt>(world.call(id)));
@@ -96,7 +98,7 @@
         world.Now + EndpointBook::FirstSuspicion);
 }
 
-TEST_CASE("a begun stream is not ended as many others wait") {
+TEST_CASE("a stream that has begun is not ended because many calls wait") {
   NodeWorld world(3, makeRoute(RequestKind::Stream, 2, true));
   REQUIRE(only<StartAttempt>(world.call(1)));
   world.Node.onFirstByte(CallId(1), world.Now);
@@ -107,7 +109,7 @@
   CHECK(countOf<EndCall>(world.end(1, AttemptEnd::NeverSent)) == 0);
 }
 
-TEST_CASE("a begun stream waits for a place after a failed answer") {
+TEST_CASE("a stream that has begun waits for a slot after a failed response") {
   NodeWorld world(3, makeRoute(RequestKind::Stream, 3, true));
   REQUIRE(only<StartAttempt>(world.call(1)));
   world.Node.onFirstByte(CallId(1), world.Now);
@@ -117,11 +119,13 @@
   CHECK(countOf<PassOnAnswer>(world.end(1, AttemptEnd::Failed)) == 0);
 }
 
-TEST_CASE("a begun stream takes the place that none on time needs") {
+TEST_CASE("a stream that has begun gets a slot after calls that can be within "
+          "their latency target, before those that cannot") {
   NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
   std::uint64_t onOther = breakOffWithoutRoom(world);
   world.Now += milliseconds(500);
-  // The broken stream's own old place goes to one of these, the second waits.
+  // The old slot of the broken stream goes to one of these calls; the other one
+  // waits.
   world.call(10);
   world.call(11);
   REQUIRE(world.Node.waitingCount() == 2);
@@ -129,7 +133,7 @@
   const auto *first = find<StartAttempt>(freed);
   REQUIRE(first);
   CHECK(first->Call == CallId(11));
-  // One that waited for too long to be on time comes after it.
+  // A call that waited too long to be within its latency target comes after it.
   world.call(12);
   world.Now += milliseconds(300);
   REQUIRE(world.Node.waitingCount() == 2);
@@ -139,18 +143,18 @@
   CHECK(second->Call == CallId(1));
 }
 
-/// One repeat in ten seconds, three endpoints of two places.
+/// Allows one retry in ten seconds. There are three endpoints of two slots.
 static void allowOneRepeat(NodeWorld &world) {
   world.Node.setRetries({0, 2, seconds(10)});
 }
 
-TEST_CASE("a repeat that was taken and not used is still there") {
+TEST_CASE("a reserved retry that is not used returns to the budget") {
   NodeWorld world(3, makeRoute(RequestKind::Stream, 2, true));
   allowOneRepeat(world);
   REQUIRE(only<StartAttempt>(world.call(1)));
   world.Node.onFirstByte(CallId(1), world.Now);
   world.Now += seconds(1);
-  SUBCASE("where the place that was taken begins to leave") {
+  SUBCASE("the endpoint with the reserved slot starts draining") {
     REQUIRE(only<StopAttempt>(world.Node.onSilent(CallId(1), world.Now)));
     for (ListedEndpoint &it : world.Listed) {
       const EndpointState *state = world.Node.book().find(it.Record.Id);
@@ -159,17 +163,17 @@
     world.Node.setEndpoints(world.Listed);
     CHECK(countOf<StartAttempt>(world.end(1, AttemptEnd::BrokeOff)) == 1);
   }
-  SUBCASE("where the next endpoint cannot be reached") {
+  SUBCASE("the next endpoint is unreachable") {
     REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::BrokeOff)));
     CHECK(countOf<StartAttempt>(world.end(1, AttemptEnd::NeverSent)) == 1);
   }
-  SUBCASE("where the stream ends whole after all") {
+  SUBCASE("the stream completes after all") {
     REQUIRE(only<StopAttempt>(world.Node.onSilent(CallId(1), world.Now)));
     world.end(1, AttemptEnd::Complete);
     REQUIRE(only<StartAttempt>(world.call(2)));
     CHECK(countOf<StartAttempt>(world.end(2, AttemptEnd::Lost)) == 1);
   }
-  SUBCASE("where the caller hangs up") {
+  SUBCASE("the caller hangs up") {
     REQUIRE(only<StopAttempt>(world.Node.onSilent(CallId(1), world.Now)));
     world.Node.onCallGone(CallId(1), world.Now);
     REQUIRE(only<StartAttempt>(world.call(2)));
@@ -177,7 +181,8 @@
   }
 }
 
-TEST_CASE("a waiting call is woken when a full endpoint is tried again") {
+TEST_CASE(
+    "a waiting call is woken up when a full endpoint may be tried again") {
   NodeWorld world(1, makeRoute(RequestKind::Stream, 2, true));
   REQUIRE(only<StartAttempt>(world.call(1)));
   world.end(1, AttemptEnd::Full);
@@ -187,7 +192,7 @@
   CHECK(*next <= world.Now + EndpointBook::FullTime);
 }
 
-TEST_CASE("nothing is sent for a stream whose time has passed") {
+TEST_CASE("a waiting stream is not sent after its deadline") {
   NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
   auto config = std::make_shared<FleetConfig>(*world.Config);
   config->Services.at(ServiceId("s")).Engine.reset();
@@ -200,20 +205,21 @@
   world.Node.setPeerLoad("n", {{other, 100, 0}}, world.Now);
   world.end(1, AttemptEnd::BrokeOff);
   REQUIRE(world.Node.waitingCount() == 1);
-  // The other entry's report is too old by then.
+  // By then the other entry's report is too old to count.
   world.Now += seconds(8);
   DirectActions last = world.Node.onTimer(world.Now);
   CHECK(countOf<StartAttempt>(last) == 0);
   CHECK(countOf<EndCall>(last) == 1);
 }
 
-TEST_CASE("what runs at most once is not repeated though it resumes") {
+TEST_CASE(
+    "a request that runs at most once is not retried even if it is resumable") {
   NodeWorld world(2, makeRoute(RequestKind::OnceOnly, 2, true));
   REQUIRE(only<StartAttempt>(world.call(1)));
   CHECK(countOf<StartAttempt>(world.end(1, AttemptEnd::Lost)) == 0);
 }
 
-TEST_CASE("a stream is not sent again when its time is over") {
+TEST_CASE("a stopped stream is not sent again after its deadline") {
   NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
   REQUIRE(only<StartAttempt>(world.call(1)));
   world.Node.onFirstByte(CallId(1), world.Now);
@@ -223,7 +229,7 @@
   CHECK(countOf<StartAttempt>(world.end(1, AttemptEnd::BrokeOff)) == 0);
 }
 
-TEST_CASE("an impatient caller makes no endpoint suspect") {
+TEST_CASE("a short deadline does not make an endpoint suspect") {
   NodeWorld world(1, makeRoute(RequestKind::OnceOnly, 1));
   DirectRequest request;
   request.Id = CallId(1);
@@ -236,7 +242,7 @@
   CHECK(world.Node.book().find(EndpointId("e0"))->SuspectUntil <= world.Now);
 }
 
-TEST_CASE("a rank that does not answer delays no questions to others") {
+TEST_CASE("an unresponsive rank does not delay status queries to other ranks") {
   TwoGroupWorld world;
   std::string group = world.start(1);
   DirectActions refused = world.end(1, AttemptEnd::Full);
@@ -251,11 +257,12 @@
   world.Now += EndpointBook::AskPause;
   DirectActions again = world.Node.onTimer(world.Now);
   REQUIRE(countOf<AskEndpoint>(again) == 1);
-  // The mute one was to be left alone for a second.
+  // The unresponsive endpoint must not be queried again for a second.
   CHECK(find<AskEndpoint>(again)->Endpoint.Id == other);
 }
 
-TEST_CASE("one rank's word makes no unreachable rank a proven one") {
+TEST_CASE("the status report of one rank does not prove that an unreachable "
+          "rank serves") {
   TwoGroupWorld world;
   std::string group = world.start(1);
   DirectActions refused = world.end(1, AttemptEnd::Full);
@@ -268,17 +275,18 @@
   CHECK(world.Node.book().find(mute)->ProvenAt != world.Now);
 }
 
-TEST_CASE("one refusal keeps no begun stream from an idle endpoint") {
+TEST_CASE(
+    "a rejection does not keep a stream that has begun from an idle endpoint") {
   NodeWorld world(3, makeRoute(RequestKind::Stream, 3, true));
   REQUIRE(only<StartAttempt>(world.call(1)));
   world.Node.onFirstByte(CallId(1), world.Now);
   REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::BrokeOff)));
-  // The third has done nothing wrong; it only had nothing to do lately.
+  // The third endpoint has not failed; it was only idle recently.
   CHECK(countOf<StartAttempt>(world.end(1, AttemptEnd::Full)) == 1);
 }
 
-/// A request without any answer in a group with nothing else to do. Returns
-/// the group.
+/// Loses a request without any response in an otherwise idle group. Returns the
+/// group.
 static std::string loseOneSilent(TwoGroupWorld &world) {
   std::string group = world.start(1);
   REQUIRE_FALSE(group.empty());
@@ -287,7 +295,8 @@
   return group;
 }
 
-TEST_CASE("a request that never began tells no pace of its group") {
+TEST_CASE("a request without a first byte does not count toward the "
+          "inter-event gap of its group") {
   TwoGroupWorld world;
   std::string group = loseOneSilent(world);
   for (const auto &[id, state] : world.Node.book().states())
@@ -295,10 +304,11 @@
       CHECK(world.Node.book().gapOf(state, world.Now) < DirectLimits().SlowGap);
 }
 
-TEST_CASE("what was forgotten of a group does not come back") {
+TEST_CASE(
+    "a decayed inter-event gap does not come back when new streams begin") {
   TwoGroupWorld world;
   std::string group = loseOneSilent(world);
-  // The lost one goes on in the other group and ends there.
+  // The lost request continues in the other group and completes there.
   world.end(1, AttemptEnd::Complete);
   world.Now += seconds(60);
   unsigned stopped = 0;
--- a/unittests/Direct/DirectGroupTest.cpp
+++ b/unittests/Direct/DirectGroupTest.cpp
@@ -1,7 +1,7 @@
-//===- DirectGroupTest.cpp - requests to endpoints of groups --------------===//
+//===- DirectGroupTest.cpp - requests to endpoints in groups --------------===//
 //
-// Engines are asked before they get anything, and a group that is slow or
-// stands comes last or gets nothing.
+// Engines are queried for their status before they get requests. A slow or
+// stalled group is used last or not at all.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,7 @@
 using std::chrono::seconds;
 
 namespace {
-/// A node before endpoints of one group that tell their condition.
+/// A DirectNode with endpoints of one group that respond to status queries.
 class GroupWorld : public NodeWorld {
 public:
   GroupWorld() : NodeWorld(0, makeRoute(RequestKind::Repeatable, 2)) {
@@ -27,7 +27,7 @@
     Node.setEndpoints(Listed);
   }
 
-  /// Answers the questions in \p actions.
+  /// Responds to the status queries in \p actions.
   std::vector<DirectActions> tell(const DirectActions &actions, bool isOpen,
                                   unsigned running = 0) {
     std::vector<DirectActions> out;
@@ -39,12 +39,12 @@
     return out;
   }
 
-  /// Has every endpoint tell that it takes requests.
+  /// Lets every endpoint report that it accepts requests.
   void open() { tell(Node.onTimer(Now), true); }
 };
 } // namespace
 
-TEST_CASE("an endpoint that can be asked gets nothing before it has told") {
+TEST_CASE("an engine gets no requests before its first status report") {
   GroupWorld world;
   CHECK(world.call(1).empty());
   DirectActions questions = world.Node.onTimer(world.Now);
@@ -53,19 +53,19 @@
   CHECK(countOf<StartAttempt>(after.front()) == 1);
 }
 
-TEST_CASE("a group that is being formed costs no attempts") {
+TEST_CASE("a group that is being formed does not use up attempts") {
   GroupWorld world;
   world.open();
   REQUIRE(countOf<StartAttempt>(world.call(1)) == 1);
   REQUIRE(countOf<StartAttempt>(world.call(2)) == 1);
-  // It has room, so another reason must keep it; the whole group is left out
-  // and one of it is asked.
+  // The endpoint has free slots, so it rejected the request for another reason.
+  // The whole group is excluded and one of its endpoints is queried.
   DirectActions refused = world.end(1, AttemptEnd::Full);
   CHECK(countOf<StartAttempt>(refused) == 0);
   CHECK(countOf<AskEndpoint>(refused) == 1);
   DirectActions other = world.end(2, AttemptEnd::Full);
   CHECK(countOf<StartAttempt>(other) == 0);
-  // It is asked again until it is open.
+  // It is queried again until it is open.
   world.tell(refused, false);
   CHECK(countOf<AskEndpoint>(world.Node.onTimer(world.Now)) == 0);
   world.Now += EndpointBook::AskPause;
@@ -75,14 +75,15 @@
   CHECK(countOf<StartAttempt>(after.front()) == 2);
 }
 
-TEST_CASE("one rank that does not answer keeps no group closed") {
+TEST_CASE("one rank that does not answer status queries does not keep its "
+          "group closed") {
   GroupWorld world;
   world.open();
   REQUIRE(countOf<StartAttempt>(world.call(1)) == 1);
   DirectActions refused = world.end(1, AttemptEnd::Full);
   REQUIRE(countOf<AskEndpoint>(refused) == 1);
   EndpointId silent = find<AskEndpoint>(refused)->Endpoint.Id;
-  // Another one of the group is asked in its place.
+  // Another endpoint of the group is queried instead.
   DirectActions next = world.Node.onTold(silent, std::nullopt, world.Now);
   REQUIRE(countOf<AskEndpoint>(next) == 1);
   CHECK(find<AskEndpoint>(next)->Endpoint.Id != silent);
@@ -90,7 +91,7 @@
   CHECK(countOf<StartAttempt>(world.call(2)) == 1);
 }
 
-TEST_CASE("a group of which no rank answers is not asked without a pause") {
+TEST_CASE("an unresponsive group is not queried in a busy loop") {
   GroupWorld world;
   world.open();
   world.call(1);
@@ -105,8 +106,9 @@
   CHECK(countOf<AskEndpoint>(world.Node.onTimer(world.Now)) == 1);
 }
 
-TEST_CASE("many entries ask a closed group no more often together") {
-  // 16 entries are two for each question of a pause, 17 are more.
+TEST_CASE("the rate of status queries to a closed group does not grow with the "
+          "number of entries") {
+  // 16 entries are two for each query of an interval, 17 are more.
   for (auto [entries, pauses] : {std::pair(8, 1), {16, 2}, {17, 3}, {80, 10}}) {
     GroupWorld world;
     for (int i = 1; i < entries; ++i)
@@ -119,18 +121,19 @@
   }
 }
 
-TEST_CASE("a group with a slow rank gets nothing that cannot be whole") {
+TEST_CASE("a slow group gets no requests that cannot complete in time there") {
   TwoGroupWorld world;
   std::string slow = world.start(1);
   std::string sound = world.start(2);
   REQUIRE(slow != sound);
   world.write(milliseconds(600), milliseconds(50));
-  // The sound group has eight slots: one is in use, one is taken for the slow
-  // stream, which has been told to stop and goes on there.
+  // The healthy group has eight slots: one is in use, and one is reserved for
+  // the slow stream, which is being stopped and continues there.
   for (std::uint64_t id = 3; id < 9; ++id)
     CHECK(world.start(id) == sound);
   CHECK(world.start(9).empty());
-  // A slow group in which an answer can be whole takes the rest.
+  // A slow group in which a response can still complete in time gets the
+  // remaining requests.
   TwoGroupWorld other;
   slow = other.start(1);
   other.start(2);
@@ -140,7 +143,7 @@
   CHECK(other.start(10) == slow);
 }
 
-TEST_CASE("a stream that cannot end in time where it is goes on elsewhere") {
+TEST_CASE("a stream that cannot complete in time in its group is migrated") {
   TwoGroupWorld world;
   std::string slow = world.start(1);
   std::string sound = world.start(2);
@@ -155,10 +158,10 @@
       movedAt = world.Now;
   }
   REQUIRE(movedAt.has_value());
-  // It is broken off once only, and resumed in the sound group.
+  // The stream is stopped only once, and resumed in the healthy group.
   CHECK(countOf<StopAttempt>(world.Node.onEvents(CallId(1), world.Now)) == 0);
   DirectActions next = world.end(1, AttemptEnd::BrokeOff);
-  // Beside it the slow ranks may be asked how fast they work.
+  // In addition, the slow ranks may be queried for their slowdown factors.
   REQUIRE(countOf<StartAttempt>(next) == 1);
   CHECK(countOf<StartAttempt>(next) + countOf<AskEndpoint>(next) ==
         next.size());
@@ -167,7 +170,8 @@
   CHECK(sound != slow);
 }
 
-TEST_CASE("a slow rank of a slow group is asked and gets as much less") {
+TEST_CASE("the ranks of a slow group are queried, and a reported slowdown "
+          "factor expires") {
   TwoGroupWorld world;
   std::string slow = world.start(1);
   world.Node.onFirstByte(CallId(1), world.Now);
@@ -184,7 +188,8 @@
   REQUIRE_FALSE(asked.empty());
   for (const EndpointId &it : asked)
     CHECK(it.get().substr(0, 1) == slow);
-  // One rank of the group tells that it is slow: its places are as many fewer.
+  // One rank of the group reports that it is slow; its usable slots are reduced
+  // by the same factor.
   EndpointId rank = asked.back();
   EndpointCondition condition{GroupId(slow), true, 1, 4.0};
   world.Node.onTold(rank, condition, world.Now);
@@ -194,19 +199,19 @@
         1.0);
 }
 
-TEST_CASE("a group whose streams all stand gets nothing new at once") {
+TEST_CASE("a group with only stalled streams gets no new requests") {
   TwoGroupWorld world;
   std::string standing = world.start(1);
   world.start(2);
   world.write(milliseconds(50), milliseconds(50));
-  // Only the other one still writes.
+  // Only the other stream still receives events.
   for (unsigned i = 0; i < 6; ++i) {
     world.Now += milliseconds(50);
     world.Node.onEvents(CallId(2), world.Now);
   }
   CHECK(world.start(3) != standing);
   CHECK(world.start(4) != standing);
-  // What was seen fades once nothing is left there.
+  // The observed gap decays once no stream is left in the group.
   world.Node.onCallGone(CallId(1), world.Now);
   for (unsigned i = 0; i < 160; ++i) {
     world.Now += milliseconds(50);
@@ -215,7 +220,8 @@
   CHECK(world.start(5) == standing);
 }
 
-TEST_CASE("an endpoint that is full by other entries' work is not used") {
+TEST_CASE(
+    "an endpoint that is full with requests of other entries is not used") {
   GroupWorld world;
   world.call(1);
   std::vector<DirectActions> after =
--- a/unittests/Direct/DirectNodeTest.cpp
+++ b/unittests/Direct/DirectNodeTest.cpp
@@ -1,7 +1,7 @@
-//===- DirectNodeTest.cpp - what follows each end of an attempt -----------===//
+//===- DirectNodeTest.cpp - handling of each end of an attempt ------------===//
 //
-// "Not run" is only said when it is true, what must not repeat is sent once,
-// and requests go where there is room.
+// A request is reported as not run only if it did not run. A request that must
+// not be retried is sent once, and requests go to endpoints with capacity.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("a lost attempt of what runs once is unknown and is not repeated") {
+TEST_CASE("a lost attempt of a request that runs at most once has an unknown "
+          "outcome and is not retried") {
   NodeWorld world(3, makeRoute(RequestKind::OnceOnly, 3));
   REQUIRE(only<StartAttempt>(world.call(1)));
   DirectActions after = world.end(1, AttemptEnd::Lost);
@@ -22,7 +23,8 @@
   CHECK((describe(codeOf(after)).Kind == Outcome::Unknown));
 }
 
-TEST_CASE("a stream is given longer while its service is slow") {
+TEST_CASE("the allowed silent period grows with the time to first byte of the "
+          "service") {
   NodeWorld world(3, makeRoute(RequestKind::Repeatable, 2, true));
   auto silenceOf = [&](std::uint64_t id) {
     DirectActions actions = world.call(id);
@@ -35,7 +37,7 @@
     world.end(id, AttemptEnd::Complete);
   };
   DirectLimits limits;
-  // Nobody has answered yet: the service may just be starting.
+  // No endpoint has responded yet, as the service may just be starting.
   CHECK(silenceOf(1) == limits.MaxSilence);
   answerAfter(1, milliseconds(150));
   CHECK(silenceOf(2) == limits.MinSilence);
@@ -47,7 +49,8 @@
   CHECK(silenceOf(20) == limits.MaxSilence);
 }
 
-TEST_CASE("a full endpoint's request goes elsewhere while attempts last") {
+TEST_CASE("a request that a full endpoint rejected goes to others until its "
+          "attempts are used up") {
   NodeWorld world(3, makeRoute(RequestKind::OnceOnly, 2));
   world.prove(3);
   const auto first = world.call(1);
@@ -62,7 +65,8 @@
   CHECK(only<EndCall>(last)->RetryAfter > Duration::zero());
 }
 
-TEST_CASE("after an unknown attempt nobody is told that nothing ran") {
+TEST_CASE(
+    "a stream with an attempt of unknown outcome is not reported as not run") {
   NodeWorld world(3, makeRoute(RequestKind::Stream, 2, true));
   REQUIRE(only<StartAttempt>(world.call(1)));
   REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::BrokeOff)));
@@ -70,13 +74,15 @@
   CHECK((describe(codeOf(last)).Kind != Outcome::NotRun));
 }
 
-TEST_CASE("a resumable stream that was lost before its first event goes on") {
+TEST_CASE(
+    "a resumable stream that was lost before its first event is sent again") {
   NodeWorld world(3, makeRoute(RequestKind::Stream, 2, true));
   REQUIRE(only<StartAttempt>(world.call(1)));
   CHECK(only<StartAttempt>(world.end(1, AttemptEnd::Lost)));
 }
 
-TEST_CASE("what may be repeated is not told that nothing ran either") {
+TEST_CASE(
+    "a repeatable request with a lost attempt is not reported as not run") {
   NodeWorld world(3, makeRoute(RequestKind::Repeatable, 2));
   REQUIRE(only<StartAttempt>(world.call(1)));
   REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::Lost)));
@@ -84,13 +90,14 @@
   CHECK((describe(codeOf(last)).Kind == Outcome::Unknown));
 }
 
-TEST_CASE("a connection that was never made costs no attempt") {
+TEST_CASE("a failed connection does not count as an attempt") {
   NodeWorld world(3, makeRoute(RequestKind::OnceOnly, 1));
   REQUIRE(only<StartAttempt>(world.call(1)));
   CHECK(only<StartAttempt>(world.end(1, AttemptEnd::NeverSent)));
 }
 
-TEST_CASE("an endpoint that was replaced costs no attempt, but has its bound") {
+TEST_CASE("a replaced endpoint does not count as an attempt, but the number of "
+          "sends is limited") {
   NodeWorld world(6, makeRoute(RequestKind::OnceOnly, 1));
   REQUIRE(only<StartAttempt>(world.call(1)));
   for (int i = 0; i < 3; ++i)
@@ -99,7 +106,7 @@
   CHECK((describe(codeOf(last)).Kind == Outcome::NotRun));
 }
 
-TEST_CASE("a request that found only full endpoints waits for one") {
+TEST_CASE("a request that only found full endpoints waits for one") {
   NodeWorld world(2, makeRoute(RequestKind::OnceOnly, 3));
   world.prove(2);
   REQUIRE(only<StartAttempt>(world.call(1)));
@@ -108,7 +115,7 @@
   CHECK(world.Node.waitingCount() == 1);
 }
 
-TEST_CASE("who was turned away waits until an endpoint is known to serve") {
+TEST_CASE("a rejected request waits until an endpoint is known to serve") {
   NodeWorld world(3, makeRoute(RequestKind::OnceOnly, 2));
   DirectActions first = world.call(1);
   REQUIRE(only<StartAttempt>(first));
@@ -122,14 +129,14 @@
         only<StartAttempt>(other)->Endpoint.Id);
 }
 
-TEST_CASE("a stream that cannot be resumed ends where it broke off") {
+TEST_CASE("a stream that cannot be resumed ends when it breaks off") {
   NodeWorld world(3, makeRoute(RequestKind::Stream, 3));
   REQUIRE(only<StartAttempt>(world.call(1)));
   CHECK(codeOf(world.end(1, AttemptEnd::BrokeOff)) ==
         ResultCode::EndpointFailed);
 }
 
-TEST_CASE("a stream that broke off waits for room") {
+TEST_CASE("a stream that broke off waits for capacity") {
   NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
   std::uint64_t onOther = breakOffWithoutRoom(world);
   world.Now += milliseconds(300);
@@ -138,7 +145,8 @@
   CHECK(only<StartAttempt>(freed)->Call == CallId(1));
 }
 
-TEST_CASE("one that finds none ends with its time") {
+TEST_CASE(
+    "a stream that broke off ends at its deadline if there is no capacity") {
   NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
   TimePoint deadline = world.Now + seconds(8);
   breakOffWithoutRoom(world);
@@ -152,7 +160,8 @@
   CHECK((describe(codeOf(late)).Kind == Outcome::Unknown));
 }
 
-TEST_CASE("requests wait for room and are told when it does not come") {
+TEST_CASE("requests wait for capacity and are refused as not run when there is "
+          "none in time") {
   NodeWorld world(1, makeRoute(RequestKind::Stream, 1));
   REQUIRE(only<StartAttempt>(world.call(1)));
   REQUIRE(only<StartAttempt>(world.call(2)));
@@ -169,7 +178,8 @@
   CHECK(world.Node.waitingCount() == 0);
 }
 
-TEST_CASE("those that can still be on time go before those that cannot") {
+TEST_CASE("calls that can be within their latency target go before those that "
+          "cannot") {
   NodeWorld world(1, makeRoute(RequestKind::Stream, 1));
   world.call(1);
   world.call(2);
@@ -182,7 +192,7 @@
 }
 
 TEST_CASE(
-    "leaving and vanished endpoints are not chosen while there are others") {
+    "draining and vanished endpoints are not chosen while there are others") {
   NodeWorld world(3, makeRoute(RequestKind::Repeatable, 1));
   world.Listed[0].Record.IsLeaving = true;
   world.Listed[1].IsMissing = true;
@@ -194,7 +204,7 @@
   }
 }
 
-TEST_CASE("what other entries have at an endpoint counts as its load") {
+TEST_CASE("requests of other entries count toward an endpoint's load") {
   NodeWorld world(2, makeRoute(RequestKind::Stream, 1));
   world.Node.setPeerLoad("other", {{EndpointId("e0"), 1, 500}}, world.Now);
   DirectActions actions = world.call(1);
@@ -204,7 +214,7 @@
   CHECK(world.Node.book().livePeers(world.Now) == 0);
 }
 
-TEST_CASE("repeats stay inside the entry's share of the window") {
+TEST_CASE("retries stay within the entry's share of the budget") {
   RetryWindow window({0.2, 20, Duration(seconds(10))});
   TimePoint now{seconds(100)};
   ServiceId service("s");
@@ -220,7 +230,7 @@
   CHECK(window.spend(service, 2, now + seconds(10)));
 }
 
-TEST_CASE("an endpoint that fails all it gets does not draw the load") {
+TEST_CASE("an endpoint that fails all its requests does not attract load") {
   NodeWorld world(2, makeRoute(RequestKind::OnceOnly, 1));
   unsigned failed = 0;
   for (std::uint64_t id = 1; id <= 100; ++id) {
@@ -233,21 +243,21 @@
     world.end(id, isFailing ? AttemptEnd::Failed : AttemptEnd::Complete);
     world.Node.onCallGone(CallId(id), world.Now);
   }
-  // It is tried again at times, as it may have recovered.
+  // It is tried again occasionally, as it may have recovered.
   CHECK(failed >= 2);
   CHECK(failed <= 5);
 }
 
-TEST_CASE("one failed answer says nothing against its endpoint") {
+TEST_CASE("one failed response does not make an endpoint suspect") {
   NodeWorld world(1, makeRoute(RequestKind::OnceOnly, 1));
   REQUIRE(only<StartAttempt>(world.call(1)));
   world.end(1, AttemptEnd::Failed);
   CHECK(world.Node.book().find(EndpointId("e0"))->SuspectUntil <= world.Now);
 }
 
-TEST_CASE("a repeat that reached nobody is given back") {
+TEST_CASE("a retry that was never sent returns to the budget") {
   NodeWorld world(6, makeRoute(RequestKind::Repeatable, 2));
-  // One repeat in a window.
+  // Allows one retry per window.
   world.Node.setRetries({0, 2, seconds(10)});
   REQUIRE(only<StartAttempt>(world.call(1)));
   REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::Lost)));
--- a/unittests/Direct/EndedGroupTest.cpp
+++ b/unittests/Direct/EndedGroupTest.cpp
@@ -1,7 +1,7 @@
-//===- EndedGroupTest.cpp - a group of which an endpoint has ended --------===//
+//===- EndedGroupTest.cpp - groups with a crashed endpoint ----------------===//
 //
-// All ranks of a group stand still when one of them ends: nothing more is sent
-// there, and what runs there goes on elsewhere at once.
+// All ranks of a group stall when one of them crashes. No more requests may be
+// sent there, and running streams must be migrated at once.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,7 +10,7 @@
 using namespace test;
 
 namespace {
-/// Two streams, one in each group; both have digests.
+/// Two streams with digests, one in each group.
 class EndedWorld : public TwoGroupWorld {
 public:
   EndedWorld() {
@@ -35,7 +35,7 @@
     return Endpoints[id].get().substr(0, 1);
   }
 
-  /// Call 1's endpoint ends.
+  /// Crashes the endpoint of call 1.
   DirectActions endFirst() {
     DirectActions cut = Node.onAttemptEnded(CallId(1), AttemptEnd::BrokeOff,
                                             Now, ConnectionEnd::Endpoint);
@@ -49,16 +49,16 @@
 };
 } // namespace
 
-TEST_CASE("nothing is sent to a group of which an endpoint has ended") {
+TEST_CASE("no requests are sent to a group with a crashed endpoint") {
   EndedWorld world;
   world.endFirst();
   for (std::uint64_t id = 10; id < 16; ++id)
     CHECK(world.startAt(id) != world.Groups[0]);
 }
 
-TEST_CASE("streams of a group of which an endpoint has ended go on elsewhere") {
+TEST_CASE("streams of a group with a crashed endpoint are migrated") {
   EndedWorld world;
-  // A third stream, beside the first one's endpoint.
+  // A third stream at the other endpoint of the first one's group.
   std::uint64_t beside = 0;
   for (std::uint64_t id = 3; id < 9 && beside == 0; ++id) {
     bool isThere = world.startAt(id) == world.Groups[0] &&
@@ -75,7 +75,8 @@
   CHECK(isMoved);
 }
 
-TEST_CASE("an endpoint that only cut one answer keeps its group open") {
+TEST_CASE("an endpoint that cut one response without crashing stays in use "
+          "with its group") {
   EndedWorld world;
   world.Node.onAttemptEnded(CallId(1), AttemptEnd::BrokeOff, world.Now,
                             ConnectionEnd::Endpoint);
@@ -88,7 +89,7 @@
   CHECK(isUsed);
 }
 
-TEST_CASE("an end that another entry saw closes the group here, too") {
+TEST_CASE("a crash that another entry reports closes the group") {
   EndedWorld world;
   CrashRow row;
   row.Request = RequestDigest(99);
@@ -100,8 +101,8 @@
     CHECK(world.startAt(id) != world.Groups[0]);
 }
 
-TEST_CASE(
-    "a request that was cut late goes on once its endpoint's fate is known") {
+TEST_CASE("a request that was cut after its wait limit is retried once its "
+          "endpoint's fate is known") {
   EndedWorld world;
   world.startAt(5);
   world.Now += std::chrono::seconds(3);
--- a/unittests/Direct/EndpointListTest.cpp
+++ b/unittests/Direct/EndpointListTest.cpp
@@ -1,6 +1,6 @@
-//===- EndpointListTest.cpp - rows that vanish and come back --------------===//
+//===- EndpointListTest.cpp - records that vanish and come back -----------===//
 //
-// Rows that lapse in an outage of the platform are back soon after it.
+// Records that lapse in an outage of the platform are back soon after it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,7 +32,8 @@
   return out;
 }
 
-TEST_CASE("a vanished endpoint is doubted at once and dropped soon") {
+TEST_CASE("a vanished endpoint is marked at once and dropped after the grace "
+          "period") {
   TimePoint now{seconds(10)};
   EndpointList list;
   list.replace(makeRecords(8), now);
@@ -43,7 +44,8 @@
   CHECK(list.endpoints().size() == 7);
 }
 
-TEST_CASE("many that vanish at once get the time to come back") {
+TEST_CASE(
+    "many endpoints that vanish at once are kept until they can be back") {
   TimePoint now{seconds(10)};
   EndpointList list;
   list.replace(makeRecords(8), now);
@@ -57,7 +59,8 @@
   CHECK_FALSE(list.endpoints().front().IsMissing);
 }
 
-TEST_CASE("an earlier life is dropped as soon as the next one is listed") {
+TEST_CASE(
+    "an earlier incarnation is dropped as soon as the next one is listed") {
   TimePoint now{seconds(10)};
   EndpointRecord first = makeRecord("e0");
   first.Life = EndpointLife(1700);
@@ -71,19 +74,19 @@
   REQUIRE(list.endpoints().size() == 1);
   CHECK(list.endpoints().front().Record.Id == second.Id);
   CHECK_FALSE(list.endpoints().front().IsMissing);
-  // Elsewhere, too.
+  // The same holds if the next incarnation has another address.
   second.Address = parseAddress("10.0.0.9:80").value();
   list.replace({first}, now);
   list.replace({second}, now);
   CHECK(list.endpoints().size() == 1);
-  // The list as text keeps them apart.
+  // The serialized list keeps the incarnations apart.
   auto read = parseEndpoints(formatEndpoints({first, second}));
   REQUIRE(read);
   CHECK(read.value().front().Id == first.Id);
   CHECK(read.value().back().Id == second.Id);
 }
 
-TEST_CASE("of two rows with one address the later stands") {
+TEST_CASE("of two records with one address the later one is used") {
   TimePoint now{seconds(10)};
   EndpointRecord old = makeRecord("old");
   EndpointRecord fresh = makeRecord("fresh");
@@ -97,7 +100,7 @@
   CHECK(list.endpoints().front().Record.Id == fresh.Id);
 }
 
-TEST_CASE("the endpoint list survives its document") {
+TEST_CASE("the endpoint list survives conversion to a document and back") {
   std::vector<EndpointRecord> records = makeRecords(3);
   records[1].IsLeaving = true;
   records[2].TellsState = true;
@@ -109,7 +112,7 @@
     CHECK_FALSE(parseEndpoints(it));
 }
 
-TEST_CASE("only whole events leave the cutter, whatever the pieces") {
+TEST_CASE("only complete events are returned, however the bytes are split") {
   const std::string text =
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda";
   for (std::size_t size = 1; size <= text.size(); ++size) {
--- a/unittests/Direct/ManyEntriesTest.cpp
+++ b/unittests/Direct/ManyEntriesTest.cpp
@@ -1,7 +1,7 @@
-//===- ManyEntriesTest.cpp - many entries before many endpoints -----------===//
+//===- ManyEntriesTest.cpp - many entries with many endpoints -------------===//
 //
-// Each entry hears of the others' load some milliseconds late. In that time
-// they must not all send to the endpoint that looks the least loaded.
+// Each entry learns of the others' load some milliseconds late. In that time
+// the entries must not all send to the endpoint with the lowest reported load.
 //
 //===----------------------------------------------------------------------===//
 
@@ -56,7 +56,7 @@
   void run(Duration length) { Time.runUntil(Time.now() + length); }
 
   unsigned requests() const { return Requests; }
-  /// Requests that came to an endpoint without room.
+  /// Requests that arrived at an endpoint without a free slot.
   unsigned crowded() const { return Crowded; }
 
 private:
@@ -95,7 +95,7 @@
        });
   }
 
-  /// Tells the others what the entry has, as LoadExchange does.
+  /// Reports the entry's load to the others, as LoadExchange does.
   void report(unsigned entry) {
     std::vector<EndpointLoad> loads = Nodes[entry]->book().ownLoads(Time.now());
     at(milliseconds(4), [this, entry, loads] {
@@ -117,8 +117,9 @@
 };
 } // namespace
 
-TEST_CASE("many entries do not crowd the endpoint that looks least loaded") {
-  // Two thirds of the places are in use.
+TEST_CASE(
+    "many entries do not crowd the endpoint with the lowest reported load") {
+  // Two thirds of the slots are in use.
   CrowdWorld large(52, 192, 500);
   large.run(seconds(5));
   CHECK(large.requests() > 2000);
@@ -129,7 +130,8 @@
   CHECK(small.crowded() * 100 <= small.requests());
 }
 
-TEST_CASE("all entries together ask a slow group's endpoints once a second") {
+TEST_CASE(
+    "all entries together query a slow group's endpoints once per second") {
   constexpr unsigned Entries = 52;
   constexpr unsigned Endpoints = 96;
   std::vector<ListedEndpoint> listed;
@@ -172,9 +174,9 @@
     for (const auto &[id, state] : books.back().states())
       known += EndpointBook::paceOf(state, now) > 1 ? 1 : 0;
   }
-  // Ten seconds: about one question a second and endpoint, where each entry
-  // for itself would ask 50,000.
+  // In ten seconds, about one query per second and endpoint. If each entry
+  // queried on its own, there would be 50,000.
   CHECK(asked < Endpoints * 10 * 3 / 2);
-  // Every entry knows of most slow endpoints at any time.
+  // Every entry knows the slowdown factors of most slow endpoints at any time.
   CHECK(known > Endpoints * 100 * 3 / 4);
 }
--- a/unittests/Direct/MortalWorld.cpp
+++ b/unittests/Direct/MortalWorld.cpp
@@ -1,4 +1,4 @@
-//===- MortalWorld.cpp - entries before endpoints that end ----------------===//
+//===- MortalWorld.cpp - entries with endpoints that crash ----------------===//
 //
 // See MortalWorld.h.
 //
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How long ranks of a group stand still before they cut what depends on one
-/// that has ended, how long a group is formed, and how long an endpoint is
-/// away.
+/// How long ranks of a group stall before they cut the requests that depend on
+/// a crashed rank, how long forming a group takes, and how long a crashed
+/// endpoint is down.
 static constexpr milliseconds StallTime(1500);
 static constexpr milliseconds FormTime(600);
 static constexpr milliseconds LeastDownTime(3500);
@@ -91,7 +91,7 @@
     });
 }
 
-/// After the way to an entry.
+/// Delivers \p input to an entry after the transport delay.
 void MortalWorld::toEntry(unsigned i,
                           std::function<DirectActions(DirectNode &)> input) {
   Time.at(Time.now() + between(milliseconds(1), milliseconds(3)),
@@ -121,7 +121,7 @@
   std::optional<TimePoint> due = entry.Node->nextTimer();
   if (!due || (entry.TimerAt > Time.now() && entry.TimerAt <= *due))
     return;
-  // A node that asks for the past is called in the next moment.
+  // A node whose timer is already due is called a moment later.
   entry.TimerAt = std::max(*due, Time.now() + milliseconds(1));
   Time.at(entry.TimerAt, [this, i, life = entry.Life] {
     deliver(i, life, [this](DirectNode &it) { return it.onTimer(Time.now()); });
@@ -212,7 +212,7 @@
 
 void MortalWorld::perform(unsigned i, const StartAttempt &it) {
   Run run{i, Entries[i].Life, it.Call, Callers[it.Call].Request, false};
-  // A change is told once changes have been gathered for a moment.
+  // A change is reported after the delay that batches changes.
   Time.at(Time.now() + milliseconds(8),
           [this, i, life = run.EntryLife] { tell(i, life); });
   Time.at(
@@ -273,7 +273,7 @@
 void MortalWorld::finish(unsigned endpoint, std::uint64_t run, unsigned life) {
   Endpoint &it = Endpoints[endpoint];
   auto found = it.Runs.find(run);
-  // What stands still is cut by stall().
+  // Stalled requests are cut by stall().
   if (it.Life != life || found == it.Runs.end() ||
       Time.now() < OpenAt[it.Group])
     return;
@@ -292,8 +292,8 @@
   });
 }
 
-/// The process at \p endpoint ends with all that it runs; its group stands
-/// still, and is formed anew when it is back.
+/// Crashes the process at \p endpoint with all its running requests. The group
+/// of \p endpoint stalls, and is formed again when the endpoint is back.
 void MortalWorld::end(unsigned endpoint) {
   Endpoint &it = Endpoints[endpoint];
   if (!it.IsUp)
--- a/unittests/Direct/MortalWorld.h
+++ b/unittests/Direct/MortalWorld.h
@@ -1,8 +1,8 @@
-//===- MortalWorld.h - entries before endpoints that end --------*- C++ -*-===//
+//===- MortalWorld.h - entries with endpoints that crash --------*- C++ -*-===//
 //
-// Whole DirectNodes on virtual time before groups of endpoints, each of which
-// ends when it runs a deadly request, or by itself. Entries hear of one another
-// late and not always; they are killed, replaced and frozen.
+// Complete DirectNodes on virtual time with groups of endpoints. Each endpoint
+// crashes when it runs a deadly request, or by itself. Reports between entries
+// arrive late or get lost. Entries are killed, replaced and frozen.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,12 +24,12 @@
 
 using namespace ospreyspur;
 
-/// Sizes of a MortalWorld.
+/// Parameters of a MortalWorld.
 struct MortalSizes {
   unsigned Entries = 4;
   unsigned Groups = 2;
   unsigned Ranks = 8;
-  /// Reports between entries that are lost, of 100.
+  /// Reports between entries that are lost, out of 100.
   unsigned LostReports = 5;
   double InnocentPerSecond = 50;
 };
@@ -38,29 +38,30 @@
 public:
   MortalWorld(std::uint64_t seed, MortalSizes sizes);
 
-  /// From now on \p request comes again and again and ends what runs it.
+  /// From now on \p request arrives repeatedly and crashes every endpoint that
+  /// runs it.
   void addKiller(RequestDigest request, Duration meanPause);
-  /// Endpoints end by themselves, \p n within \p span.
+  /// Lets \p n endpoints crash by themselves within \p span.
   void addWave(unsigned n, Duration span);
   void killEntry(unsigned i);
   void freezeEntry(unsigned i, Duration span);
-  /// Entries hear nothing of each other until then.
+  /// Entries receive no reports from each other for \p span.
   void cutReports(Duration span) { ReportsCutUntil = Time.now() + span; }
   void run(Duration span) { Time.runUntil(Time.now() + span); }
 
-  /// Times at which endpoints ended under \p request.
+  /// Returns the times at which endpoints crashed while running \p request.
   const std::vector<TimePoint> &deaths(RequestDigest request) {
     return Deaths[request];
   }
-  /// Times at which \p request reached an endpoint, sent by an entry that had
-  /// been at work for ContactTime.
+  /// Returns the times at which \p request reached an endpoint, sent by an
+  /// entry that had been running for at least ContactTime.
   const std::vector<TimePoint> &arrivals(RequestDigest request) {
     return Arrivals[request];
   }
-  /// How often innocent callers were told \p code.
+  /// Returns how often callers of harmless requests received \p code.
   unsigned innocentTold(ResultCode code) { return InnocentTold[code]; }
   unsigned innocentServed() const { return InnocentServed; }
-  /// Most arrivals of one innocent request.
+  /// Returns the largest number of arrivals of one harmless request.
   std::size_t mostInnocentArrivals() const;
   /// Time between a killer's arrival at an entry and its final answer, at most,
   /// after it was quarantined there.
@@ -74,7 +75,7 @@
     unsigned Life = 0;
     TimePoint FrozenUntil;
     TimePoint TimerAt;
-    /// It was started or woke then.
+    /// When the entry was last started or resumed.
     TimePoint TroubleAt;
   };
   struct Run {
@@ -134,7 +135,7 @@
   std::shared_ptr<const FleetConfig> Config;
   std::vector<Entry> Entries;
   std::vector<Endpoint> Endpoints;
-  /// When each group takes requests again.
+  /// When each group accepts requests again.
   std::vector<TimePoint> OpenAt;
   std::set<RequestDigest> Killers;
   std::map<CallId, Caller> Callers;
--- a/unittests/Direct/NodeWorld.h
+++ b/unittests/Direct/NodeWorld.h
@@ -1,6 +1,6 @@
-//===- NodeWorld.h - a DirectNode before endpoints --------------*- C++ -*-===//
+//===- NodeWorld.h - fixture for tests of DirectNode ------------*- C++ -*-===//
 //
-// What the tests of DirectNode have in common.
+// Shared fixture and helpers of the tests of DirectNode.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,10 +21,10 @@
 
 using namespace ospreyspur;
 
-/// A node before some endpoints of one service.
+/// A DirectNode with some endpoints of one service.
 class NodeWorld {
 public:
-  /// \p seed decides between endpoints that are alike.
+  /// \p seed decides between equally good endpoints.
   explicit NodeWorld(unsigned endpoints, RouteRule rule = RouteRule(),
                      std::uint64_t seed = 1)
       : Node(DataCentreId("a"), DirectLimits(), seed) {
@@ -60,7 +60,8 @@
     return Node.onCall(std::move(request), Now);
   }
 
-  /// Has \p n endpoints answer a request each.
+  /// Lets \p n endpoints complete one request each, so that they count as known
+  /// to serve.
   void prove(unsigned n) {
     for (unsigned i = 0; i < n; ++i)
       call(100 + i);
@@ -93,7 +94,7 @@
   return actions.size() == 1 ? std::get_if<T>(&actions.front()) : nullptr;
 }
 
-/// The first action of the kind; null if there is none.
+/// Returns the first action of type \p T; null if there is none.
 template <typename T> const T *find(const DirectActions &actions) {
   for (const DirectAction &it : actions)
     if (const auto *out = std::get_if<T>(&it))
@@ -112,7 +113,8 @@
       [](const DirectAction &it) { return std::holds_alternative<T>(it); });
 }
 
-/// Fills two endpoints of two places and breaks the first stream off.
+/// Fills two endpoints of two slots each and breaks the first stream off.
+/// Returns a call that runs at the endpoint that did not run the first stream.
 inline std::uint64_t breakOffWithoutRoom(NodeWorld &world) {
   DirectActions first = world.call(1);
   REQUIRE(only<StartAttempt>(first));
--- a/unittests/Direct/PushbackWaysTest.cpp
+++ b/unittests/Direct/PushbackWaysTest.cpp
@@ -1,7 +1,7 @@
-//===- PushbackWaysTest.cpp - every way to an endpoint that asks for less -===//
+//===- PushbackWaysTest.cpp - every request path obeys pushback -----------===//
 //
-// A rate, a pause and leaving, each against every way in which a request or a
-// question reaches an endpoint.
+// Tests a rate limit, a backoff and draining against every path on which a
+// request or a status query reaches an endpoint.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,7 @@
   Pushback Asked;
 };
 
-/// Each takes all room at once for a second or longer.
+/// Each of these removes all capacity at once for at least a second.
 std::vector<Statement> allStatements() {
   Pushback rate;
   rate.RequestsPerSecond = 0.5;
@@ -47,13 +47,13 @@
   return order ? order->Endpoint.Id : EndpointId("none");
 }
 
-/// Of two endpoints the other one.
+/// Returns the other one of two endpoints.
 EndpointId other(const EndpointId &it) {
   return it == idOf(0) ? idOf(1) : idOf(0);
 }
 } // namespace
 
-TEST_CASE("new requests go elsewhere") {
+TEST_CASE("new requests avoid an endpoint that pushes back") {
   for (const Statement &it : allStatements()) {
     CAPTURE(it.Name);
     NodeWorld world(3);
@@ -64,7 +64,7 @@
   }
 }
 
-TEST_CASE("repeats go elsewhere") {
+TEST_CASE("retries avoid an endpoint that pushes back") {
   for (const Statement &it : allStatements()) {
     CAPTURE(it.Name);
     NodeWorld world(3, makeRoute(RequestKind::Repeatable, 2));
@@ -81,7 +81,7 @@
   }
 }
 
-TEST_CASE("streams that fall silent are not moved there") {
+TEST_CASE("silent streams are not migrated to an endpoint that pushes back") {
   for (const Statement &it : allStatements()) {
     CAPTURE(it.Name);
     NodeWorld world(2, makeRoute(RequestKind::Stream, 3, true));
@@ -94,10 +94,11 @@
   }
 }
 
-TEST_CASE("a stream that is being moved there goes on elsewhere") {
+TEST_CASE(
+    "a stream does not continue at a target that has pushed back meanwhile") {
   for (const Statement &it : allStatements()) {
     if (it.Asked.RequestsPerSecond)
-      continue; // Its place was taken from the rate already.
+      continue; // Its slot was already charged to the rate limit.
     CAPTURE(it.Name);
     NodeWorld world(2, makeRoute(RequestKind::Stream, 3, true));
     world.prove(2);
@@ -112,7 +113,7 @@
   }
 }
 
-TEST_CASE("suspect requests go elsewhere") {
+TEST_CASE("suspect requests avoid an endpoint that pushes back") {
   for (const Statement &it : allStatements()) {
     CAPTURE(it.Name);
     NodeWorld world(2);
@@ -139,7 +140,8 @@
   }
 }
 
-TEST_CASE("a request that was picked before is not written") {
+TEST_CASE("a request is not written if its endpoint pushed back after it was "
+          "picked") {
   for (const Statement &it : allStatements()) {
     CAPTURE(it.Name);
     NodeWorld world(1);
@@ -149,19 +151,19 @@
     hear(world, 0, it.Asked);
     CHECK_FALSE(world.Node.maySend(CallId(2), world.Now));
     DirectActions actions = world.end(2, AttemptEnd::Withheld);
-    // Another endpoint may come for it.
+    // Another endpoint may be listed for it.
     if (it.Asked.IsLeaving) {
       CHECK(world.Node.waitingCount() == 1);
       continue;
     }
-    // It did not run, and its caller is told so at once.
+    // It did not run, and its caller learns that at once.
     REQUIRE(only<EndCall>(actions));
     bool isNotRun = describe(codeOf(actions)).Kind == Outcome::NotRun;
     CHECK(isNotRun);
   }
 }
 
-TEST_CASE("no questions are asked there") {
+TEST_CASE("an endpoint that pushes back gets no status queries") {
   for (const Statement &it : allStatements()) {
     CAPTURE(it.Name);
     NodeWorld world(0);
@@ -179,7 +181,8 @@
   }
 }
 
-TEST_CASE("when all that is left asks for less, callers hear so at once") {
+TEST_CASE(
+    "callers are refused at once when all remaining endpoints push back") {
   for (const Statement &it : allStatements()) {
     if (it.Asked.IsLeaving)
       continue;
@@ -205,7 +208,7 @@
   }
 }
 
-TEST_CASE("those who wait hear so when the last endpoint asks for less") {
+TEST_CASE("waiting callers are refused when the last endpoint pushes back") {
   NodeWorld world(1);
   world.call(1);
   world.call(2);
@@ -219,7 +222,7 @@
   CHECK(world.Node.waitingCount() == 0);
 }
 
-TEST_CASE("a pause is not ended by a success or a shorter one") {
+TEST_CASE("a backoff is not ended by a success or a shorter backoff") {
   NodeWorld world(1);
   world.call(1);
   Pushback rest;
@@ -234,12 +237,13 @@
   CHECK(startedAt(world.call(3)) == idOf(0));
 }
 
-TEST_CASE("an endpoint that left in one life serves in the next") {
+TEST_CASE(
+    "an endpoint that was draining in one incarnation serves in the next") {
   NodeWorld world(1);
   Pushback leaving;
   leaving.IsLeaving = true;
   hear(world, 0, leaving);
-  // Its row goes and comes again: it is the same life.
+  // The record vanishes and comes back for the same incarnation.
   world.Node.setEndpoints({});
   world.Node.setEndpoints(world.Listed);
   CHECK(startedAt(world.call(1)) == EndpointId("none"));
@@ -249,14 +253,16 @@
   CHECK(startedAt(world.call(2)) == EndpointId("e0@2"));
 }
 
-// Each entry would find out for itself that an endpoint leaves, by a request.
-TEST_CASE("an entry leaves out what another one was told is leaving") {
+// Without such reports, each entry would learn that an endpoint is draining
+// only from a request of its own.
+TEST_CASE(
+    "an entry avoids an endpoint that is draining according to another entry") {
   NodeWorld teller(2);
   NodeWorld hearer(2);
   Pushback leaving;
   leaving.IsLeaving = true;
   hear(teller, 0, leaving);
-  // Datagrams may be lost; the third report still says it.
+  // Datagrams may be lost, so the incarnation is in three reports.
   CHECK(teller.Node.takeLeavingReport().size() == 1);
   CHECK(teller.Node.takeLeavingReport().size() == 1);
   std::vector<LifeDigest> told = teller.Node.takeLeavingReport();
--- a/unittests/Direct/QueryOfDeathTest.cpp
+++ b/unittests/Direct/QueryOfDeathTest.cpp
@@ -1,7 +1,8 @@
-//===- QueryOfDeathTest.cpp - requests that end endpoints -----------------===//
+//===- QueryOfDeathTest.cpp - requests that crash endpoints ---------------===//
 //
-// Whole entries on virtual time: what a request may cost that ends whoever runs
-// it, and that others do not pay for it.
+// Complete entries on virtual time. The tests limit the damage by a request
+// that crashes every endpoint that runs it, and check that other requests are
+// not quarantined.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,15 +20,16 @@
 
 static constexpr RequestDigest Killer(7);
 static constexpr RequestDigest OtherKiller(8);
-/// Time after the third end in which the news may still travel, and sends after
-/// that which are allowed.
+/// Time for reports to spread after the third crash, and the number of sends
+/// allowed after that time.
 static constexpr Duration NewsTime = seconds(3);
 static constexpr std::size_t MostLateSends = 3;
 
-/// Runs of each kind; 60 and more by hand.
+/// Number of seeds of each test; manual runs use 60 or more.
 static constexpr std::uint64_t Seeds = 10;
 
-/// Sends of \p request later than the news of its third end should have come.
+/// Returns the number of sends of \p request after the reports of its third
+/// crash should have arrived.
 static std::size_t lateSends(MortalWorld &world, RequestDigest request) {
   const std::vector<TimePoint> &deaths = world.deaths(request);
   if (deaths.size() < 3)
@@ -38,8 +40,8 @@
                        [from](TimePoint it) { return it > from; });
 }
 
-TEST_CASE(
-    "a request that ends endpoints is known after a few, at all entries") {
+TEST_CASE("a request that crashes endpoints is quarantined at all entries "
+          "after a few crashes") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     MortalWorld world(seed, MortalSizes());
@@ -54,7 +56,7 @@
   }
 }
 
-TEST_CASE("no request is quarantined because endpoints end in waves") {
+TEST_CASE("no request is quarantined because endpoints crash in waves") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     MortalWorld world(seed, MortalSizes());
@@ -67,7 +69,8 @@
   }
 }
 
-TEST_CASE("two such requests, a wave and entries that die cost a few sends") {
+TEST_CASE("two deadly requests, a wave of crashes and failing entries cost "
+          "only a few sends") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     MortalSizes sizes;
@@ -92,7 +95,7 @@
   }
 }
 
-TEST_CASE("what is known outlives every entry that saw it") {
+TEST_CASE("a quarantine outlives the entries that saw the crashes") {
   for (std::uint64_t seed = 1; seed <= Seeds / 2; ++seed) {
     CAPTURE(seed);
     MortalWorld world(seed, MortalSizes());
@@ -110,7 +113,8 @@
   }
 }
 
-TEST_CASE("entries that hear nothing of each other stop each for itself") {
+TEST_CASE("entries without reports from each other quarantine a request on "
+          "their own") {
   for (std::uint64_t seed = 1; seed <= Seeds / 2; ++seed) {
     CAPTURE(seed);
     MortalWorld world(seed, MortalSizes());
--- a/unittests/Direct/ReplacedEndpointTest.cpp
+++ b/unittests/Direct/ReplacedEndpointTest.cpp
@@ -1,8 +1,9 @@
-//===- ReplacedEndpointTest.cpp - lives that have ended -------------------===//
+//===- ReplacedEndpointTest.cpp - reports of replaced endpoints -----------===//
 //
-// Seen: while the store could not be read, each entry found out for itself that
-// an endpoint had begun a new life, by a request that it then had to repeat.
-// Cause: what one entry learned of it was told to no other one.
+// Guards against retries that each entry makes on its own when an endpoint has
+// a new incarnation. While the store could not be read, each entry noticed that
+// only by a failed request, as entries did not report replaced endpoints to
+// each other.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +17,8 @@
 using namespace test;
 using std::chrono::seconds;
 
-/// Has \p world find out that one of its endpoints was replaced. Returns it.
+/// Lets \p world find out that one of its endpoints was replaced. Returns that
+/// endpoint's id.
 static EndpointId findReplaced(NodeWorld &world) {
   DirectActions first = world.call(1);
   REQUIRE(only<StartAttempt>(first));
@@ -25,7 +27,7 @@
   return id;
 }
 
-/// Requests of 200 that \p world sends to \p id, one after the other.
+/// Returns how many of 200 consecutive requests \p world sends to \p id.
 static unsigned countSent(NodeWorld &world, const EndpointId &id) {
   unsigned n = 0;
   for (std::uint64_t call = 1000; call < 1200; ++call) {
@@ -38,7 +40,8 @@
   return n;
 }
 
-TEST_CASE("an endpoint that was found replaced is tried by no other entry") {
+TEST_CASE(
+    "an endpoint that one entry found replaced is not tried by other entries") {
   NodeWorld finder(3, makeRoute(RequestKind::Repeatable, 2));
   NodeWorld other(3, makeRoute(RequestKind::Repeatable, 2), 2);
   EndpointId id = findReplaced(finder);
@@ -48,12 +51,12 @@
   other.Node.mergeReplaced(heard->Replaced, other.Now);
   CHECK(countSent(other, id) == 0);
   CHECK(countSent(finder, id) == 0);
-  // Nor after a while, as the life has ended for good.
+  // The same holds later, as the incarnation has ended for good.
   other.Now += seconds(20);
   CHECK(countSent(other, id) == 0);
 }
 
-TEST_CASE("a replaced endpoint is told a few times only") {
+TEST_CASE("a replaced endpoint is reported only a few times") {
   NodeWorld finder(3, makeRoute(RequestKind::Repeatable, 2));
   findReplaced(finder);
   unsigned told = 0;
--- a/unittests/Direct/SharedBoundTest.cpp
+++ b/unittests/Direct/SharedBoundTest.cpp
@@ -1,10 +1,10 @@
-//===- SharedBoundTest.cpp - repeats of all entries together --------------===//
+//===- SharedBoundTest.cpp - retry budget of all entries together ---------===//
 //
-// Entries on virtual time before endpoints that lose whatever they get, so that
-// each entry repeats as often as it may. Seen: with the store away and entries
-// killed, the fleet sent more repeats than all entries together may. Cause: an
-// entry that began anew took a full share again, for as many entries as it
-// heard of.
+// Entries on virtual time with endpoints that lose every request, so that each
+// entry retries as often as it may. Guards against retries beyond the limit for
+// all entries together: with the store unavailable and entries killed, each
+// restarted entry used a full share again, based on the number of entries that
+// it had received reports from.
 //
 //===----------------------------------------------------------------------===//
 
@@ -58,7 +58,7 @@
   void freeze(unsigned i, Duration span) {
     Nodes[i].FrozenUntil = Time.now() + span;
   }
-  /// The store lists nobody to entries that begin, until it is back.
+  /// The store lists no entries to starting entries until it is back.
   void setStoreOut(Duration span) {
     StoreOutUntil = Time.now() + span;
     Time.at(StoreOutUntil, [this] {
@@ -67,7 +67,7 @@
           list(i);
     });
   }
-  /// The entry ends, and another life of it begins.
+  /// Kills the entry; a new incarnation of it starts later.
   void kill(unsigned i) {
     ++Nodes[i].Life;
     Nodes[i].Node.reset();
@@ -78,7 +78,8 @@
   }
 
   std::size_t repeats() const { return RepeatTimes.size(); }
-  /// Repeats in a window above what all entries together may send, at worst.
+  /// Returns the largest excess of retries in a window over what all entries
+  /// together may send.
   double worstExcess() const {
     const RetryBounds bounds;
     auto countIn = [](const std::vector<TimePoint> &times, TimePoint from,
@@ -193,8 +194,8 @@
 };
 } // namespace
 
-TEST_CASE("the bound on repeats holds when half of the entries begin anew "
-          "without the store") {
+TEST_CASE("the retry limit holds when half of the entries restart without "
+          "the store") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     LossyFleet fleet(seed);
@@ -209,8 +210,8 @@
   }
 }
 
-TEST_CASE("the bound on repeats holds when entries begin anew one by one and "
-          "together") {
+TEST_CASE(
+    "the retry limit holds when entries restart one by one and together") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     LossyFleet fleet(seed);
@@ -230,8 +231,8 @@
   }
 }
 
-TEST_CASE("the bound on repeats holds when all entries begin anew again and "
-          "again with the store at hand") {
+TEST_CASE("the retry limit holds when all entries restart repeatedly with "
+          "the store available") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     LossyFleet fleet(seed);
@@ -246,7 +247,7 @@
   }
 }
 
-TEST_CASE("the bound on repeats holds when entries are cut from each other, "
+TEST_CASE("the retry limit holds when entries are cut from each other, "
           "frozen and killed") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
@@ -264,8 +265,8 @@
   }
 }
 
-TEST_CASE("an entry that does not know how many there are spends nothing of "
-          "the allowance") {
+TEST_CASE("an entry that does not know the number of entries uses nothing of "
+          "the shared allowance") {
   RetryWindow window({0.2, 90, Duration(seconds(10))});
   TimePoint now{seconds(100)};
   ServiceId service("s");
--- a/unittests/Direct/SilentStreamTest.cpp
+++ b/unittests/Direct/SilentStreamTest.cpp
@@ -1,16 +1,15 @@
-//===- SilentStreamTest.cpp - streams are not cut for want of a place -----===//
+//===- SilentStreamTest.cpp - streams are not cut for lack of a slot ------===//
 //
-// Seen: callers' connections closed in the middle of a stream, 0.9 s after its
-// endpoint had gone quiet, while other endpoints had room.
+// Guards against streams that are cut 0.9 s after their endpoint fell silent
+// while other endpoints have capacity.
 //
-// How it came about: the silence of one stream was noted as the pace of its
-// whole group. Sound streams of that group were then broken off as too slow,
-// dozens at a time, until the entry's share of repeats was used up. A stream
-// that had been broken off could not go on without a repeat and was cut.
+// The idle period of one stream was recorded as the inter-event gap of its
+// whole group. Healthy streams of that group were then stopped as too slow,
+// dozens at a time, until the entry's share of the retry budget was spent. A
+// stream that had been stopped could not continue without a retry and was cut.
 //
-// Proved by the log lines of waiting requests, which count endpoints by what
-// keeps a request from them: none was full, half were "too slow", and no repeat
-// was left.
+// In the log records of waiting requests, which count the endpoints by
+// obstacle, none was full, half were "too_slow", and no retry was left.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,7 +27,7 @@
 static constexpr Duration UsualGap = milliseconds(50);
 
 namespace {
-/// Streams in two groups, of which some are silent at times.
+/// Streams in two groups, some of which are silent at times.
 class StreamWorld : public TwoGroupWorld {
 public:
   StreamWorld() {
@@ -37,7 +36,7 @@
     Config = std::move(config);
   }
 
-  /// Starts streams 1 to \p n, which all begin to write.
+  /// Starts streams 1 to \p n, which all begin to decode.
   void begin(std::uint64_t n) {
     for (std::uint64_t id = 1; id <= n; ++id) {
       Groups.push_back(start(id));
@@ -50,8 +49,8 @@
     return Groups.at(id - 1);
   }
 
-  /// Events come for all streams but those of which \p isSilent, each 50 ms for
-  /// \p span. Returns the streams that are to be broken off.
+  /// All streams except those for which \p isSilent is true receive events
+  /// every 50 ms for \p span. Returns the streams to be stopped.
   template <typename Predicate>
   std::vector<CallId> write(Duration span, Predicate isSilent) {
     std::vector<CallId> stopped;
@@ -68,14 +67,14 @@
     return stopped;
   }
 
-  /// The group with the most streams.
+  /// Returns the group with the most streams.
   std::string fullest() const {
     auto n = std::count(Groups.begin(), Groups.end(), "a");
     return 2 * static_cast<std::size_t>(n) > Groups.size() ? "a" : "b";
   }
 
-  /// Has the streams of \p group get an event each 600 ms, of which an answer
-  /// in time cannot be made. Returns those to be broken off.
+  /// Lets the streams of \p group receive an event every 600 ms, with which a
+  /// response cannot complete in time. Returns the streams to be stopped.
   std::vector<CallId> slowDown(const std::string &group) {
     std::vector<CallId> stopped;
     for (unsigned i = 0; i < 5 && stopped.empty(); ++i) {
@@ -100,13 +99,13 @@
   auto isSilent = [](std::uint64_t id) { return id == Silent; };
   CHECK(world.write(DirectLimits().MinSilence, isSilent).empty());
   world.end(Silent, AttemptEnd::BrokeOff);
-  // The others of its group wrote all the time.
+  // The other streams of its group received events all the time.
   for (const auto &[id, state] : world.Node.book().states())
     CHECK(world.Node.book().gapOf(state, world.Now) < 2 * UsualGap);
   CHECK(world.write(seconds(1), isSilent).empty());
 }
 
-/// Every stream that is broken off goes on elsewhere at once.
+/// Checks that every stopped stream continues in the other group at once.
 static void checkAllGoOn(StreamWorld &world,
                          const std::vector<CallId> &stopped) {
   for (CallId it : stopped) {
@@ -118,8 +117,8 @@
   }
 }
 
-TEST_CASE("a stream is broken off and ended only when it must be") {
-  SUBCASE("no more streams are broken off than repeats are left") {
+TEST_CASE("a stream is stopped or ended only if necessary") {
+  SUBCASE("no more streams are stopped than the retry budget allows") {
     StreamWorld world;
     world.Node.setRetries({0, 2, seconds(10)});
     world.begin(6);
@@ -127,15 +126,16 @@
     CHECK(stopped.size() == 1);
     checkAllGoOn(world, stopped);
   }
-  SUBCASE("no more streams are broken off than there are places elsewhere") {
+  SUBCASE("no more streams are stopped than there are free slots in the other "
+          "group") {
     StreamWorld world;
-    // Eight places in each group; one of the sound group's is left.
+    // There are eight slots in each group; one of the healthy group's is free.
     world.begin(15);
     std::vector<CallId> stopped = world.slowDown(world.fullest());
     CHECK(stopped.size() == 1);
     checkAllGoOn(world, stopped);
   }
-  SUBCASE("one that broke off waits for room as long as it has time") {
+  SUBCASE("a stream that broke off waits for capacity until its deadline") {
     NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
     std::uint64_t onOther = breakOffWithoutRoom(world);
     world.Now += seconds(3);
@@ -144,7 +144,8 @@
     const auto *attempt = find<StartAttempt>(freed);
     CHECK((attempt && attempt->Call == CallId(1)));
   }
-  SUBCASE("so does one whose next endpoint could not be reached") {
+  SUBCASE("a stream that broke off and whose next endpoint is unreachable "
+          "waits for capacity") {
     NodeWorld world(3, makeRoute(RequestKind::Stream, 2, true));
     REQUIRE(only<StartAttempt>(world.call(1)));
     world.Node.onFirstByte(CallId(1), world.Now);
@@ -166,7 +167,7 @@
 }
 
 namespace {
-/// One stream that has begun, before endpoints of two places each.
+/// One stream that has begun, with endpoints of two slots each.
 class SilentWorld : public NodeWorld {
 public:
   explicit SilentWorld(unsigned endpoints)
@@ -181,7 +182,7 @@
   unsigned ownAt(const EndpointId &id) const {
     return Node.book().find(id)->Own;
   }
-  /// The endpoint that is not the stream's first; there must be two.
+  /// Returns the endpoint that the stream did not start at; there must be two.
   EndpointId other() const {
     return EndpointId(Origin == EndpointId("e0") ? "e1" : "e0");
   }
@@ -190,13 +191,14 @@
 };
 } // namespace
 
-TEST_CASE("a silent stream is moved where a place and a repeat are taken") {
+TEST_CASE("a silent stream is migrated to an endpoint where a slot and a retry "
+          "are reserved") {
   SilentWorld world(2);
   DirectActions stop = world.Node.onSilent(CallId(1), world.Now);
   REQUIRE(only<StopAttempt>(stop));
   CHECK((only<StopAttempt>(stop)->Reason == MoveReason::Silent));
   CHECK(world.ownAt(world.other()) == 1);
-  // It is told once.
+  // The stream is stopped only once.
   CHECK(world.Node.onSilent(CallId(1), world.Now).empty());
   DirectActions next = world.end(1, AttemptEnd::BrokeOff);
   REQUIRE(only<StartAttempt>(next));
@@ -205,7 +207,8 @@
   CHECK(world.ownAt(world.Origin) == 0);
 }
 
-TEST_CASE("a silent stream without a place stays and takes the next one") {
+TEST_CASE(
+    "a silent stream without a free slot elsewhere stays until one is free") {
   SilentWorld world(2);
   std::vector<std::uint64_t> others;
   for (std::uint64_t id = 2; id <= 4; ++id) {
@@ -219,27 +222,27 @@
   std::vector<WaitNote> notes = world.Node.takeWaitNotes();
   REQUIRE(notes.size() == 1);
   CHECK(notes.front().IsSilent);
-  SUBCASE("which it leaves to others once it has gone on") {
+  SUBCASE("a stream that resumes does not take the free slot") {
     world.Node.onEvents(CallId(1), world.Now);
     CHECK(world.end(others.front(), AttemptEnd::Complete).empty());
   }
-  SUBCASE("as soon as it is free") {
+  SUBCASE("a stream that is still silent takes the free slot") {
     DirectActions freed = world.end(others.front(), AttemptEnd::Complete);
     REQUIRE(only<StopAttempt>(freed));
     CHECK(only<StopAttempt>(freed)->Call == CallId(1));
   }
 }
 
-TEST_CASE("a place that was taken for a stream is given back") {
+TEST_CASE("a slot that is reserved for a stream is released") {
   SilentWorld world(2);
   REQUIRE(only<StopAttempt>(world.Node.onSilent(CallId(1), world.Now)));
-  SUBCASE("when the stream ends whole after all") {
+  SUBCASE("the stream completes after all") {
     CHECK(world.end(1, AttemptEnd::Complete).empty());
   }
-  SUBCASE("when its caller hangs up") {
+  SUBCASE("its caller hangs up") {
     world.Node.onCallGone(CallId(1), world.Now);
   }
-  SUBCASE("when the endpoint begins to leave") {
+  SUBCASE("the endpoint starts draining") {
     for (ListedEndpoint &it : world.Listed)
       it.Record.IsLeaving = it.Record.Id == world.other();
     world.Node.setEndpoints(world.Listed);
@@ -248,7 +251,8 @@
   CHECK(world.ownAt(world.other()) == 0);
 }
 
-TEST_CASE("what was stopped is no sign of a failure") {
+TEST_CASE(
+    "a stopped silent stream does not count as a failure of its endpoint") {
   SilentWorld world(3);
   DirectActions stop = world.Node.onSilent(CallId(1), world.Now);
   REQUIRE(only<StopAttempt>(stop));
@@ -259,7 +263,7 @@
   CHECK(world.Node.book().find(world.Origin)->SuspectUntil == suspect);
 }
 
-TEST_CASE("a stream that was too slow is no sign of a failure either") {
+TEST_CASE("a stopped slow stream does not count as a failure of its endpoint") {
   StreamWorld world;
   world.begin(4);
   std::vector<CallId> stopped = world.slowDown(world.groupOf(1));
@@ -273,7 +277,7 @@
 
 TEST_CASE("a silent stream is not moved to a suspect endpoint") {
   SilentWorld world(2);
-  // Of three more requests at least one is at the other endpoint.
+  // Of three more requests, at least one is at the other endpoint.
   for (std::uint64_t id = 2; id <= 4; ++id) {
     DirectActions next = world.call(id);
     REQUIRE(only<StartAttempt>(next));
@@ -287,14 +291,14 @@
   CHECK(only<StopAttempt>(world.Node.onSilent(CallId(1), world.Now)));
 }
 
-TEST_CASE("what runs once is not moved however silent it is") {
+TEST_CASE("a silent request that runs at most once is not migrated") {
   NodeWorld world(2, makeRoute(RequestKind::OnceOnly, 2));
   REQUIRE(only<StartAttempt>(world.call(1)));
   world.Now += seconds(3);
   CHECK(world.Node.onSilent(CallId(1), world.Now).empty());
 }
 
-TEST_CASE("a stream is not moved to where others stand") {
+TEST_CASE("a stream is not migrated to a group whose streams are stalled") {
   StreamWorld world;
   world.begin(4);
   world.write(seconds(1), [](std::uint64_t /*id*/) { return false; });
@@ -305,20 +309,22 @@
           0);
 }
 
-TEST_CASE("a refusal does not use up the attempts of a stream that has begun") {
-  // When a group breaks, its other ranks refuse what broke off at the first.
+TEST_CASE(
+    "a rejection does not count as an attempt of a stream that has begun") {
+  // When a group breaks, its other ranks reject the streams that broke off at
+  // the first one.
   NodeWorld world(3, makeRoute(RequestKind::Stream, 2, true));
   world.prove(3);
   REQUIRE(only<StartAttempt>(world.call(1)));
   world.Node.onFirstByte(CallId(1), world.Now);
   REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::BrokeOff)));
   REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::Full)));
-  // Now there is nowhere left; it waits as long as its caller listens.
+  // No endpoint is left now; the stream waits until its deadline.
   CHECK(countOf<EndCall>(world.end(1, AttemptEnd::Full)) == 0);
   CHECK(world.Node.waitingCount() == 1);
 }
 
-TEST_CASE("nobody is told that a stream did not run once it may have") {
+TEST_CASE("a stream which may have run is not reported as not run") {
   NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
   REQUIRE(only<StartAttempt>(world.call(1)));
   REQUIRE(only<StopAttempt>(world.Node.onSilent(CallId(1), world.Now)));
--- a/unittests/Direct/TwoGroupWorld.h
+++ b/unittests/Direct/TwoGroupWorld.h
@@ -1,6 +1,6 @@
-//===- TwoGroupWorld.h - a DirectNode before two groups ---------*- C++ -*-===//
+//===- TwoGroupWorld.h - fixture with two groups of endpoints ---*- C++ -*-===//
 //
-// What the tests of streams in groups have in common.
+// Shared fixture of the tests of streams in groups.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,8 +13,8 @@
 
 namespace test {
 
-/// A node before two groups of two endpoints with four slots each. The first
-/// two calls go to different groups.
+/// A DirectNode with two groups of two endpoints with four slots each. The
+/// first two calls go to different groups.
 class TwoGroupWorld : public NodeWorld {
 public:
   TwoGroupWorld()
@@ -39,15 +39,16 @@
 
   static constexpr std::uint64_t Seed = 2;
 
-  /// Starts call \p id. Returns its group, or nothing if it has to wait.
+  /// Starts call \p id. Returns its group, or an empty string if it has to
+  /// wait.
   std::string start(std::uint64_t id) {
     DirectActions actions = call(id);
     const auto *attempt = only<StartAttempt>(actions);
     return attempt ? attempt->Endpoint.Id.get().substr(0, 1) : "";
   }
 
-  /// Has calls 1 and 2, one in each group, write for three seconds, with
-  /// these pauses.
+  /// Lets calls 1 and 2, one in each group, receive events for three seconds
+  /// with these inter-event gaps.
   void write(Duration pauseOfFirst, Duration pauseOfSecond) {
     std::array<TimePoint, 2> last = {Now, Now};
     std::array<Duration, 2> pauses = {pauseOfFirst, pauseOfSecond};
