--- a/include/ospreyspur/Direct/ArrivalRate.h
+++ b/include/ospreyspur/Direct/ArrivalRate.h
@@ -34,7 +34,7 @@
     TimePoint At;
   };
 
-  static double fade(const Count &count, TimePoint now);
+  static double decay(const Count &count, TimePoint now);
 
   std::unordered_map<ServiceId, Count> Counts;
 };
--- a/include/ospreyspur/Direct/CallState.h
+++ b/include/ospreyspur/Direct/CallState.h
@@ -33,9 +33,9 @@
   unsigned Arrivals = 0;
   /// When the current attempt started, and when it last received data.
   TimePoint SentAt;
-  TimePoint HeardAt;
+  TimePoint ReceivedAt;
   /// Number of times that response data arrived.
-  unsigned Parts = 0;
+  unsigned ReceivedParts = 0;
   /// Whether the current attempt is being stopped.
   bool IsStopping = false;
   /// Whether the current attempt has been silent for longer than \c Silence.
@@ -47,18 +47,18 @@
   bool HasBegun = false;
   /// Whether an endpoint rejected the request as full. The next attempt then
   /// only goes to an endpoint that is known to serve.
-  bool WasTurnedAway = false;
+  bool WasRejected = false;
   /// Whether the outcome of an attempt that was sent is unknown.
   bool MayHaveRun = false;
   /// Earliest start time of a suspect request, drawn at random once an endpoint
   /// is available to it.
-  std::optional<TimePoint> TurnAt;
+  std::optional<TimePoint> CopyStartAt;
   std::set<EndpointId> Tried;
   std::optional<EndpointId> Current;
   /// Whether the current attempt, or the one that is to follow at \c Next, was
   /// charged to the rate limit that its endpoint advertised.
-  bool IsCounted = false;
-  bool IsNextCounted = false;
+  bool IsCharged = false;
+  bool IsNextCharged = false;
   /// Where the request continues once the current attempt has stopped. A slot
   /// there and a retry from the budget are already reserved.
   std::optional<EndpointRecord> Next;
--- a/include/ospreyspur/Direct/DirectNode.h
+++ b/include/ospreyspur/Direct/DirectNode.h
@@ -44,7 +44,7 @@
   }
   void setPeerLoad(const std::string &peer,
                    const std::vector<EndpointLoad> &loads, TimePoint now) {
-    Fleet.onHeard(peer, now);
+    Fleet.onReport(peer, now);
     Book.setPeerLoad(peer, loads, now);
   }
   /// The process starts at \p now. From then on the limits on retries allow for
@@ -188,59 +188,60 @@
 
   /// Maximum number of running suspect requests in one report; each takes one
   /// of the slots that this entry uses.
-  static constexpr std::size_t MaxToldRuns = 64;
+  static constexpr std::size_t MaxReportedRuns = 64;
 
-  void noteCut(const CallState &call, TimePoint now);
+  void handleCutConnection(const CallState &call, TimePoint now);
   void noteCrash(const EndpointId &id, const CutRun &run, TimePoint now);
   void judgeCrashes(TimePoint now);
-  void leaveGroupOf(const EndpointId &id, TimePoint now);
-  void noteToldEnds(const CrashReport &report, TimePoint now);
-  void quarantine(RequestDigest request, bool isTold, TimePoint now);
+  void closeGroupOf(const EndpointId &id, TimePoint now);
+  void handleReportedCrashes(const CrashReport &report, TimePoint now);
+  void quarantine(RequestDigest request, bool isFromPeer, TimePoint now);
   bool isSuspect(const CallState &call) const;
   const EndpointState *pickForSuspect(CallState &call, TimePoint now);
-  bool mustStandBack(const CallState &call, TimePoint now) const;
-  std::set<LifeDigest> livesOfSuspects(const CallState &call,
-                                       TimePoint now) const;
+  bool mustDefer(const CallState &call, TimePoint now) const;
+  std::set<LifeDigest> incarnationsOfSuspects(const CallState &call,
+                                              TimePoint now) const;
   void endQuarantined(RequestDigest request, TimePoint now);
-  std::size_t entriesToShare(TimePoint now) const;
+  std::size_t countSharingEntries(TimePoint now) const;
   void refreshMembers(TimePoint now);
-  void onLessRoom(TimePoint now);
+  void onLimitsChanged(TimePoint now);
   bool isResting(const EndpointId &id, TimePoint now) const;
   bool isClosed(const EndpointState &state, TimePoint now) const {
     return state.Record.IsLeaving || Closed.isLeaving(state.Life) ||
            Closed.isResting(state.Life, now);
   }
-  bool mayAsk(const EndpointState &state, TimePoint now);
-  ResultCode heldBackBy(const CallState &call, TimePoint now) const;
-  bool isHopeless(const CallState &call, TimePoint now) const;
+  bool mayQuery(const EndpointState &state, TimePoint now);
+  ResultCode pushbackReason(const CallState &call, TimePoint now) const;
+  bool isUnservable(const CallState &call, TimePoint now) const;
   std::size_t waitingFor(const ServiceId &service) const;
-  void endHopeless(TimePoint now);
-  Duration expectedRoom(const CallState &call, TimePoint now);
-  Duration expectedRestEnd(const CallState &call, TimePoint now);
-  Duration draw(Duration least, Duration most);
+  void endUnservable(TimePoint now);
+  Duration expectedCapacityDelay(const CallState &call, TimePoint now);
+  Duration expectedBackoffDelay(const CallState &call, TimePoint now);
+  Duration drawUniform(Duration least, Duration most);
   void startOrWait(CallState &call, TimePoint now);
   void wait(const CallState &call, TimePoint now);
-  void noteWait(const CallState &call, TimePoint now);
+  void recordWait(const CallState &call, TimePoint now);
   bool tryStart(CallState &call, TimePoint now);
-  void noteFirstByte(const CallState &call, TimePoint now);
-  Duration silenceFor(const CallState &call) const;
-  void ask(TimePoint now);
+  void recordFirstByte(const CallState &call, TimePoint now);
+  Duration allowedSilence(const CallState &call) const;
+  void sendStatusQueries(TimePoint now);
   void startWaiting(TimePoint now);
   void startWaiting(bool onTime, TimePoint now);
-  void begin(CallState &call, const EndpointRecord &endpoint, TimePoint now);
+  void startAttempt(CallState &call, const EndpointRecord &endpoint,
+                    TimePoint now);
   void retry(CallState &call, ResultCode reason, TimePoint now);
-  bool mayTry(const CallState &call, TimePoint now) const;
-  bool tryMove(CallState &call, MoveReason reason, TimePoint now);
-  bool goOn(CallState &call, TimePoint now);
+  bool mayAttempt(const CallState &call, TimePoint now) const;
+  bool tryMigrate(CallState &call, MoveReason reason, TimePoint now);
+  bool startNext(CallState &call, TimePoint now);
   void releaseNext(CallState &call);
-  void noteHeard(CallState &call, TimePoint now);
+  void recordReceived(CallState &call, TimePoint now);
   void end(CallState &call, ResultCode code, Duration retryAfter);
   void endNotRun(CallState &call, ResultCode code, TimePoint now);
   void endAttempt(CallState &call);
-  void noteEvidence(const CallState &call, AttemptEnd end, TimePoint now);
+  void recordOutcome(const CallState &call, AttemptEnd end, TimePoint now);
   bool isTooSlow(const CallState &call, TimePoint now) const;
   ServiceId pickService(const RouteRule &route);
-  Duration expectedDrain(const CallState &call, TimePoint now) const;
+  Duration expectedQueueDelay(const CallState &call, TimePoint now) const;
   DirectActions takeActions();
 
   DataCentreId DataCentre;
--- a/include/ospreyspur/Direct/EndpointBook.h
+++ b/include/ospreyspur/Direct/EndpointBook.h
@@ -11,7 +11,7 @@
 
 #include "ospreyspur/Direct/DirectActions.h"
 #include "ospreyspur/Direct/EndpointList.h"
-#include "ospreyspur/Direct/GroupPaces.h"
+#include "ospreyspur/Direct/GroupGaps.h"
 #include "ospreyspur/Quarantine/CrashReport.h"
 #include "ospreyspur/Support/Time.h"
 
@@ -46,42 +46,42 @@
   unsigned Own = 0;
   /// Pending prompt tokens: those of this entry's requests without a first
   /// byte.
-  unsigned OwnUnread = 0;
-  unsigned FailuresInRow = 0;
+  unsigned OwnPendingTokens = 0;
+  unsigned ConsecutiveFailures = 0;
   /// Consecutive responses that reported a failed run.
-  unsigned FailedAnswersInRow = 0;
+  unsigned ConsecutiveFailedResponses = 0;
   /// Until this time the endpoint is used only if there is no other.
   TimePoint SuspectUntil;
   /// Until this time the endpoint counts as full, after it rejected a request
   /// as full.
   TimePoint FullUntil;
-  unsigned FullInRow = 0;
+  unsigned ConsecutiveFull = 0;
   /// When a response last began or completed, or a status report last said that
   /// the endpoint accepts requests and has free slots.
   TimePoint ProvenAt;
   /// The endpoint's group, once reported.
   GroupId Group;
   /// Until this time the endpoint is excluded, as another incarnation has its
-  /// address. \c ReplacedTellings is the number of reports to other entries
-  /// that still have to announce this.
+  /// address. \c RemainingReplacedReports is the number of reports to other
+  /// entries that still have to announce this.
   TimePoint ReplacedUntil;
-  unsigned ReplacedTellings = 0;
+  unsigned RemainingReplacedReports = 0;
   /// Whether the endpoint gets no requests until it reports that it accepts
   /// them.
-  bool MustTell = false;
-  TimePoint AskAt;
+  bool MustReport = false;
+  TimePoint QueryAt;
   /// Until this time other members of the group are queried, as the endpoint
   /// did not respond to a status query.
-  TimePoint UnansweredUntil;
+  TimePoint UnresponsiveUntil;
   /// Slowdown factor, and when it was reported.
   double Pace = 1;
-  TimePoint PaceAt;
+  TimePoint SlowdownAt;
   /// When the endpoint last reported its slowdown factor to this entry, rather
   /// than to another one.
-  TimePoint PaceToldAt;
+  TimePoint SlowdownReportedAt;
   /// When this entry queries the slowdown factor, unless another entry has
   /// reported it by then.
-  std::optional<TimePoint> AskPaceAt;
+  std::optional<TimePoint> QuerySlowdownAt;
 };
 
 /// Load and health by endpoint.
@@ -93,13 +93,13 @@
   static constexpr Duration ReplacedTime = std::chrono::minutes(1);
   /// Number of reports that announce a replaced endpoint, as datagrams may be
   /// lost, and the maximum number of endpoints announced in one report.
-  static constexpr unsigned ReplacedRepeats = 3;
-  static constexpr std::size_t MaxToldReplaced = 32;
+  static constexpr unsigned ReplacedReports = 3;
+  static constexpr std::size_t MaxReplacedPerReport = 32;
   /// Number of consecutive failed responses from which on an endpoint is
   /// suspect. One alone may be the fault of the request. An endpoint that fails
   /// at once always has the least load: without this rule, the fifth of the
   /// endpoints that failed received two thirds of all requests.
-  static constexpr unsigned SuspectFailedAnswers = 2;
+  static constexpr unsigned SuspectFailedResponses = 2;
   /// How long an endpoint that rejected a request as full gets no new ones:
   /// about two engine iterations. The time doubles with each consecutive
   /// rejection, as ranks whose group is being formed reject requests in the
@@ -108,28 +108,28 @@
   static constexpr Duration LongestFullTime = std::chrono::milliseconds(400);
   /// Interval between status queries to an endpoint that accepts no requests.
   /// Forming a group takes 600 ms on the platform.
-  static constexpr Duration AskPause = std::chrono::milliseconds(100);
+  static constexpr Duration QueryInterval = std::chrono::milliseconds(100);
   /// Maximum number of status queries that a group being formed gets in one
   /// interval. With more entries than this, each entry queries less often.
-  static constexpr std::size_t AskersPerPause = 8;
+  static constexpr std::size_t MaxQueriesPerInterval = 8;
   /// A status query without a response is repeated after this time.
-  static constexpr Duration AskTimeout = std::chrono::seconds(1);
+  static constexpr Duration QueryTimeout = std::chrono::seconds(1);
   /// Inter-event gap of a group from which on its ranks are queried for their
   /// slowdown factors. Engine iterations of a full group with a well-fitting
   /// expert map stay below this value on the platform.
-  static constexpr Duration SlowPass = std::chrono::milliseconds(180);
+  static constexpr Duration SlowIterationGap = std::chrono::milliseconds(180);
   /// Delay before a group is queried again after one of its endpoints crashed.
   /// The endpoint has to be restarted and the group formed, which takes 600 ms
   /// on the platform, where reports are 200 ms old.
-  static constexpr Duration BrokenPause = std::chrono::milliseconds(500);
+  static constexpr Duration CrashedGroupDelay = std::chrono::milliseconds(500);
   /// Mean interval between slowdown queries of all entries to one endpoint; a
   /// reported factor is used for two intervals. Each entry draws the time of
   /// its query at random and announces the result to the others. When 52
   /// entries each queried 192 endpoints once a second, a day with 17,000
   /// requests had 225,000 queries.
-  static constexpr Duration PaceEvery = std::chrono::milliseconds(1000);
+  static constexpr Duration SlowdownInterval = std::chrono::milliseconds(1000);
   /// Age at which another entry's load report no longer counts.
-  static constexpr Duration PeerLoadAge = std::chrono::seconds(1);
+  static constexpr Duration MaxPeerLoadAge = std::chrono::seconds(1);
 
   // Commands.
 
@@ -142,11 +142,11 @@
   void onFirstByte(const EndpointId &id, unsigned promptTokens, TimePoint now);
   /// A request ended without a response; its prompt tokens no longer count as
   /// pending.
-  void dropUnread(const EndpointId &id, unsigned promptTokens);
+  void dropPendingPrompt(const EndpointId &id, unsigned promptTokens);
   /// Events arrived, \p gap after the previous ones.
   void onEvents(const EndpointId &id, Duration gap, TimePoint now);
-  /// \p wasWriting says whether the first byte had arrived.
-  void onEnded(const EndpointId &id, bool wasWriting);
+  /// \p wasDecoding says whether the first byte had arrived.
+  void onEnded(const EndpointId &id, bool wasDecoding);
   /// A stream's attempt ended after an idle period of \p silence.
   void onSilence(const EndpointId &id, Duration silence, TimePoint now);
   void onSuccess(const EndpointId &id, TimePoint now);
@@ -156,26 +156,27 @@
   void onFull(const EndpointId &id, TimePoint now);
   /// Decides whether an endpoint may be sent a status query now. A query that
   /// is sent counts as a request toward the endpoint's rate limit.
-  using MayAsk = std::function<bool(const EndpointState &)>;
+  using MayQuery = std::function<bool(const EndpointState &)>;
 
   /// Returns the endpoints to send a status query to now, one of each known
   /// group.
-  std::vector<EndpointRecord> takeQuestions(const MayAsk &mayAsk,
-                                            TimePoint now);
+  std::vector<EndpointRecord> takeStatusQueries(const MayQuery &mayQuery,
+                                                TimePoint now);
   /// Returns the endpoints of slow groups to query for their slowdown factors.
-  std::vector<EndpointRecord> takePaceQuestions(const MayAsk &mayAsk,
-                                                TimePoint now,
-                                                std::mt19937_64 &random);
+  std::vector<EndpointRecord> takeSlowdownQueries(const MayQuery &mayQuery,
+                                                  TimePoint now,
+                                                  std::mt19937_64 &random);
   /// Takes an endpoint's status report; \p condition is unset if the endpoint
   /// did not respond.
   void onTold(const EndpointId &id,
               const std::optional<EndpointCondition> &condition, TimePoint now);
   /// Clears the \c FullUntil times that have passed; see nextFree().
-  void forgetFull(TimePoint now);
+  void clearExpiredFull(TimePoint now);
   /// The endpoint's process has exited. Its group gets no requests until one of
   /// its endpoints reports that it accepts them. Returns the group's endpoints,
   /// or none if the endpoint cannot be queried for its status.
-  std::vector<EndpointId> onLifeEnded(const EndpointId &id, TimePoint now);
+  std::vector<EndpointId> onIncarnationEnded(const EndpointId &id,
+                                             TimePoint now);
   /// Another incarnation has the endpoint's address.
   void onReplaced(const EndpointId &id, TimePoint now);
   /// Another entry reported the incarnations \p lives as replaced.
@@ -191,8 +192,8 @@
   const EndpointState *findLife(LifeDigest life) const;
   /// When the next endpoint that rejected a request as full may be tried again.
   std::optional<TimePoint> nextFree() const;
-  /// When takeQuestions() must be called next.
-  std::optional<TimePoint> nextQuestion() const;
+  /// When takeStatusQueries() must be called next.
+  std::optional<TimePoint> nextStatusQuery() const;
   /// Returns the load of all entries at \p state's endpoint.
   EndpointLoad totalLoad(const EndpointState &state, TimePoint now) const;
   /// Returns the expected inter-event gap at \p state's endpoint; zero if the
@@ -200,10 +201,10 @@
   Duration gapOf(const EndpointState &state, TimePoint now) const;
   /// Like gapOf(), but the current idle period of a group's only decoding
   /// stream does not count.
-  Duration sureGapOf(const EndpointState &state, TimePoint now) const;
+  Duration confirmedGapOf(const EndpointState &state, TimePoint now) const;
   /// Returns the endpoint's slowdown factor; 1 if unknown.
-  static double paceOf(const EndpointState &state, TimePoint now) {
-    return now - state.PaceAt < 2 * PaceEvery ? state.Pace : 1;
+  static double slowdownOf(const EndpointState &state, TimePoint now) {
+    return now - state.SlowdownAt < 2 * SlowdownInterval ? state.Pace : 1;
   }
   /// Returns this entry's load, for reports to the other entries.
   std::vector<EndpointLoad> ownLoads(TimePoint now) const;
@@ -216,15 +217,15 @@
     std::unordered_map<EndpointId, EndpointLoad> Loads;
   };
 
-  static void pauseFull(EndpointState &state, TimePoint now);
-  void onUnanswered(EndpointState &asked, TimePoint now);
+  static void extendFull(EndpointState &state, TimePoint now);
+  void onNoResponse(EndpointState &asked, TimePoint now);
   EndpointState *findMutable(const EndpointId &id);
   std::vector<EndpointState *> groupOf(EndpointState &state);
-  Duration askPause(TimePoint now) const;
+  Duration queryInterval(TimePoint now) const;
 
   std::map<EndpointId, EndpointState> States;
   std::map<std::string, PeerLoad> Peers;
-  GroupPaces Paces;
+  GroupGaps Gaps;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Direct/EndpointList.h
+++ b/include/ospreyspur/Direct/EndpointList.h
@@ -36,7 +36,7 @@
   /// outage are back within two seconds after the platform recovers.
   static constexpr Duration LapseGrace = std::chrono::milliseconds(1900);
   /// \c LapseGrace applies if more than one record in this many vanishes.
-  static constexpr std::size_t ManyOneIn = 4;
+  static constexpr std::size_t MassLapseDivisor = 4;
 
   /// Replaces the list. Endpoints that \p records omits become missing, or are
   /// dropped at once if they have a successor.
@@ -51,12 +51,12 @@
   std::optional<TimePoint> nextTimer() const;
 
 private:
-  struct Row {
+  struct TrackedEndpoint {
     EndpointRecord Record;
     std::optional<TimePoint> DropAt;
   };
 
-  std::map<EndpointId, Row> Rows;
+  std::map<EndpointId, TrackedEndpoint> Tracked;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Direct/EndpointPicker.h
+++ b/include/ospreyspur/Direct/EndpointPicker.h
@@ -40,10 +40,10 @@
   /// Returns the endpoint for a call whose request may crash it: preferably not
   /// one of \p others, where other such requests run, and in the group with the
   /// fewest running requests. Returns null if there is none; with \p
-  /// mustBeApart, endpoints in \p others are excluded.
-  const EndpointState *pickApart(const CallState &call,
-                                 const std::set<LifeDigest> &others,
-                                 bool mustBeApart, TimePoint now) const;
+  /// mustBeIsolated, endpoints in \p others are excluded.
+  const EndpointState *pickIsolated(const CallState &call,
+                                    const std::set<LifeDigest> &others,
+                                    bool mustBeIsolated, TimePoint now) const;
   /// Endpoints of \p service.
   std::size_t countEndpoints(const ServiceId &service) const {
     return statesOf(service).size();
--- a/include/ospreyspur/Direct/EndpointRecord.h
+++ b/include/ospreyspur/Direct/EndpointRecord.h
@@ -21,8 +21,8 @@
 /// share an entry in any table: not for health, load, group, slowdown or
 /// attempts.
 inline EndpointId makeEndpointId(const std::string &name, EndpointLife life) {
-  bool isTold = life != EndpointLife(0);
-  return EndpointId(isTold ? name + "@" + std::to_string(life.get()) : name);
+  bool isKnown = life != EndpointLife(0);
+  return EndpointId(isKnown ? name + "@" + std::to_string(life.get()) : name);
 }
 
 /// One incarnation of an endpoint.
--- a/include/ospreyspur/Direct/EventCutter.h
+++ b/include/ospreyspur/Direct/EventCutter.h
@@ -21,17 +21,17 @@
   /// bytes unchanged.
   std::string add(std::string_view data);
   /// Discards the incomplete event at the end.
-  void dropRest() { Rest.clear(); }
+  void dropRest() { Incomplete.clear(); }
 
   /// Whether an incomplete event is buffered.
-  bool hasRest() const { return !Rest.empty(); }
+  bool hasRest() const { return !Incomplete.empty(); }
   /// Returns the id of the last complete event that has one; empty if none has.
   const std::string &lastId() const { return LastId; }
 
 private:
   void noteIds(std::string_view events);
 
-  std::string Rest;
+  std::string Incomplete;
   std::string LastId;
 };
 
--- a/include/ospreyspur/Direct/FleetSize.h
+++ b/include/ospreyspur/Direct/FleetSize.h
@@ -27,9 +27,9 @@
   // Commands.
 
   /// The entry \p name has sent a report.
-  void onHeard(const std::string &name, TimePoint now);
-  /// The report that was passed to onHeard() says that the entry \p name has no
-  /// callers.
+  void onReport(const std::string &name, TimePoint now);
+  /// The report that was passed to onReport() says that the entry \p name has
+  /// no callers.
   void onIdle(const std::string &name, TimePoint now) { IdleAt[name] = now; }
   /// The key-value store lists the entries \p names, apart from this one.
   void setListed(std::set<std::string> names, TimePoint now);
@@ -51,7 +51,7 @@
 private:
   /// Entries that have neither reported nor been listed for this time are
   /// dropped. The time is longer than any window.
-  static constexpr Duration KeepFor = std::chrono::hours(1);
+  static constexpr Duration RetentionTime = std::chrono::hours(1);
   /// Upper bound on the time between sending and receiving a report.
   static constexpr Duration ReportDelay = std::chrono::seconds(1);
 
--- a/include/ospreyspur/Direct/GroupPaces.h
+++ b/include/ospreyspur/Direct/GroupGaps.h
@@ -1,4 +1,4 @@
-//===- GroupPaces.h - inter-event gaps of each group ------------*- C++ -*-===//
+//===- GroupGaps.h - inter-event gaps of each group -------------*- C++ -*-===//
 //
 // All ranks of a group step together, so the inter-event gap of any stream
 // shows how long an engine iteration of the whole group takes. The cause may be
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_DIRECT_GROUPPACES_H
-#define OSPREYSPUR_DIRECT_GROUPPACES_H
+#ifndef OSPREYSPUR_DIRECT_GROUPGAPS_H
+#define OSPREYSPUR_DIRECT_GROUPGAPS_H
 
 #include "ospreyspur/Support/Ids.h"
 #include "ospreyspur/Support/Time.h"
@@ -18,7 +18,7 @@
 namespace ospreyspur {
 
 /// The inter-event gaps that one entry has observed, by group.
-class GroupPaces {
+class GroupGaps {
 public:
   using Key = std::pair<ServiceId, GroupId>;
 
@@ -32,7 +32,7 @@
   /// Minimum number of streams that must be silent together to count as
   /// evidence against the group. A single silent stream may be due to a hanging
   /// endpoint.
-  static constexpr unsigned StreamsThatTell = 2;
+  static constexpr unsigned MinSilentStreams = 2;
 
   // Commands.
 
@@ -52,21 +52,21 @@
   /// Like gapOf(), but the current idle period of a group's only stream does
   /// not count. An idle period of one stream is reason enough to prefer other
   /// groups, but not to leave this one.
-  Duration sureGapOf(const Key &group, TimePoint now) const;
+  Duration confirmedGapOf(const Key &group, TimePoint now) const;
 
 private:
-  struct Pace {
+  struct GapEstimate {
     Duration Gap{};
     TimePoint At;
-    unsigned Writing = 0;
+    unsigned DecodingStreams = 0;
   };
 
   /// Returns the last observed gap, decayed to \p now.
-  static Duration fade(const Pace &pace, TimePoint now);
+  static Duration decay(const GapEstimate &estimate, TimePoint now);
 
-  std::map<Key, Pace> Paces;
+  std::map<Key, GapEstimate> Estimates;
 };
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_DIRECT_GROUPPACES_H
+#endif // OSPREYSPUR_DIRECT_GROUPGAPS_H
--- a/include/ospreyspur/Direct/NodeRegistry.h
+++ b/include/ospreyspur/Direct/NodeRegistry.h
@@ -44,10 +44,10 @@
   static constexpr Duration ReadEvery = std::chrono::seconds(3);
   static constexpr unsigned FirstReads = 6;
   /// How long a vanished record is kept.
-  static constexpr Duration KeepVanished = std::chrono::seconds(10);
+  static constexpr Duration VanishedGrace = std::chrono::seconds(10);
   /// Bounds of the delay before a failed write is retried.
-  static constexpr Duration MinPause = std::chrono::milliseconds(250);
-  static constexpr Duration MaxPause = std::chrono::seconds(2);
+  static constexpr Duration MinRetryDelay = std::chrono::milliseconds(250);
+  static constexpr Duration MaxRetryDelay = std::chrono::seconds(2);
 
   explicit NodeRegistry(NodeRecord self) : Self(std::move(self)) {}
 
@@ -77,12 +77,12 @@
   NodeRecord Self;
   /// Revision of this process's own record; 0 if the record is not known to
   /// exist.
-  Revision Row;
-  Revision Expected;
+  Revision OwnRevision;
+  Revision ExpectedRevision;
   bool IsWriting = false;
   bool IsReading = false;
   bool HasRead = false;
-  Duration Pause = MinPause;
+  Duration RetryDelay = MinRetryDelay;
   unsigned Reads = 0;
   TimePoint WriteAt;
   TimePoint ReadAt;
--- a/include/ospreyspur/Direct/RetryWindow.h
+++ b/include/ospreyspur/Direct/RetryWindow.h
@@ -52,7 +52,7 @@
   /// used. Returns false if the budget is spent.
   bool spend(const ServiceId &service, std::size_t entries, TimePoint now);
   /// Returns the latest retry to the budget, as it was not sent after all.
-  void giveBack(const ServiceId &service);
+  void refund(const ServiceId &service);
   /// Whether spend() would succeed now.
   bool canSpend(const ServiceId &service, std::size_t entries, TimePoint now);
 
@@ -70,10 +70,10 @@
 
   struct Counts {
     std::deque<TimePoint> Requests;
-    std::deque<TimePoint> Repeats;
+    std::deque<TimePoint> Retries;
   };
 
-  void forget(Counts &counts, TimePoint now) const;
+  void dropExpired(Counts &counts, TimePoint now) const;
   double allowed(const Counts &counts, std::size_t entries,
                  TimePoint now) const;
 
--- a/lib/Direct/ArrivalRate.cpp
+++ b/lib/Direct/ArrivalRate.cpp
@@ -15,14 +15,14 @@
   return std::chrono::duration<double>(it).count();
 }
 
-double ArrivalRate::fade(const Count &count, TimePoint now) {
+double ArrivalRate::decay(const Count &count, TimePoint now) {
   return count.Requests *
          std::exp2(-secondsOf(now - count.At) / secondsOf(HalfLife));
 }
 
 void ArrivalRate::onRequest(const ServiceId &service, TimePoint now) {
   Count &it = Counts[service];
-  it.Requests = fade(it, now) + 1;
+  it.Requests = decay(it, now) + 1;
   it.At = now;
 }
 
@@ -31,5 +31,5 @@
   if (it == Counts.end())
     return 0;
   // At a steady rate r the decayed count converges to r * HalfLife / ln 2.
-  return fade(it->second, now) * std::numbers::ln2 / secondsOf(HalfLife);
+  return decay(it->second, now) * std::numbers::ln2 / secondsOf(HalfLife);
 }
--- a/lib/Direct/DirectCrashes.cpp
+++ b/lib/Direct/DirectCrashes.cpp
@@ -16,12 +16,12 @@
 /// Range over which the start times of a suspect request's copies are drawn. It
 /// is many times the delay of some 15 ms until other entries learn of a start,
 /// and short compared with the time until the caller's deadline.
-static constexpr Duration TurnSpread = std::chrono::milliseconds(200);
+static constexpr Duration CopyStartSpread = std::chrono::milliseconds(200);
 
 /// Handles an endpoint that closed the connection of the current attempt early.
 /// A cut connection alone does not prove a crash, so the endpoint's fate is
 /// checked before the request is sent to another endpoint.
-void DirectNode::noteCut(const CallState &call, TimePoint now) {
+void DirectNode::handleCutConnection(const CallState &call, TimePoint now) {
   const EndpointState *state = Book.find(*call.Current);
   bool isPlanned = !state || state->Record.IsLeaving || state->IsMissing;
   if (isPlanned || call.Request.Digest == RequestDigest())
@@ -48,7 +48,7 @@
   std::vector<CutRun> runs = std::move(it->second);
   Checks.erase(it);
   if (fate == EndpointFate::Ended) {
-    leaveGroupOf(id, now);
+    closeGroupOf(id, now);
     for (const CutRun &run : runs)
       noteCrash(id, run, now);
   }
@@ -71,10 +71,11 @@
     quarantine(it, false, now);
 }
 
-void DirectNode::quarantine(RequestDigest request, bool isTold, TimePoint now) {
+void DirectNode::quarantine(RequestDigest request, bool isFromPeer,
+                            TimePoint now) {
   CrashNotes.push_back(
       {request, "", EndpointId(), Duration(), Crashes.crashesOf(request),
-       Crashes.chanceOf(request, now), CrashStanding::Quarantined, isTold});
+       Crashes.chanceOf(request, now), CrashStanding::Quarantined, isFromPeer});
   endQuarantined(request, now);
 }
 
@@ -82,8 +83,8 @@
 /// running requests after a second or two. A request sent there meanwhile would
 /// wait as long for its rejection, while those that run there can be migrated
 /// now.
-void DirectNode::leaveGroupOf(const EndpointId &id, TimePoint now) {
-  for (const EndpointId &member : Book.onLifeEnded(id, now))
+void DirectNode::closeGroupOf(const EndpointId &id, TimePoint now) {
+  for (const EndpointId &member : Book.onIncarnationEnded(id, now))
     for (auto &[callId, call] : Calls) {
       bool isThere = call.Current == member && member != id;
       if (isThere && call.Request.Route->canResume() &&
@@ -93,12 +94,13 @@
 }
 
 /// Handles endpoint crashes that another entry saw within the last \c
-/// BrokenPause.
-void DirectNode::noteToldEnds(const CrashReport &report, TimePoint now) {
+/// CrashedGroupDelay.
+void DirectNode::handleReportedCrashes(const CrashReport &report,
+                                       TimePoint now) {
   std::set<LifeDigest> fresh;
   for (const CrashRow &row : report.Rows)
     for (const CrashTold &it : row.Crashes)
-      if (it.Age < EndpointBook::BrokenPause && !Crashes.endOf(it.Life))
+      if (it.Age < EndpointBook::CrashedGroupDelay && !Crashes.endOf(it.Life))
         fresh.insert(it.Life);
   if (fresh.empty())
     return;
@@ -107,13 +109,13 @@
     if (fresh.contains(state.Life))
       ended.push_back(id);
   for (const EndpointId &it : ended)
-    leaveGroupOf(it, now);
+    closeGroupOf(it, now);
 }
 
 DirectActions DirectNode::onCrashReport(const std::string &peer,
                                         const CrashReport &report,
                                         TimePoint now) {
-  noteToldEnds(report, now);
+  handleReportedCrashes(report, now);
   for (RequestDigest it : Crashes.merge(peer, report, now))
     quarantine(it, true, now);
   startWaiting(now);
@@ -137,7 +139,7 @@
   for (const auto &[id, call] : Calls) {
     bool isSuspect = call.Current && Crashes.standingOf(call.Request.Digest) ==
                                          CrashStanding::Suspect;
-    if (isSuspect && out.Runs.size() < MaxToldRuns)
+    if (isSuspect && out.Runs.size() < MaxReportedRuns)
       out.Runs.push_back({call.Request.Digest, digestLife(*call.Current)});
   }
   return out;
@@ -154,25 +156,26 @@
 /// starts.
 const EndpointState *DirectNode::pickForSuspect(CallState &call,
                                                 TimePoint now) {
-  bool isPressing = Crashes.crashesOf(call.Request.Digest) > 1;
-  const EndpointState *state =
-      Picker.pickApart(call, livesOfSuspects(call, now), isPressing, now);
+  bool hasSeveralCrashes = Crashes.crashesOf(call.Request.Digest) > 1;
+  const EndpointState *state = Picker.pickIsolated(
+      call, incarnationsOfSuspects(call, now), hasSeveralCrashes, now);
   if (!state)
-    call.TurnAt.reset();
-  if (!state || !isPressing)
+    call.CopyStartAt.reset();
+  if (!state || !hasSeveralCrashes)
     return state;
-  if (!call.TurnAt) {
-    std::uniform_int_distribution<Duration::rep> turn(0, TurnSpread.count());
-    call.TurnAt = now + Duration(turn(Random));
+  if (!call.CopyStartAt) {
+    std::uniform_int_distribution<Duration::rep> turn(0,
+                                                      CopyStartSpread.count());
+    call.CopyStartAt = now + Duration(turn(Random));
   }
-  return now < *call.TurnAt ? nullptr : state;
+  return now < *call.CopyStartAt ? nullptr : state;
 }
 
 /// Whether the call has to wait though there may be capacity: the fate of its
 /// last endpoint is still being checked or evaluated, or the request is suspect
 /// and already running. Only one copy of a suspect request runs at a time, so
 /// that no more endpoints crash than are needed for a verdict.
-bool DirectNode::mustStandBack(const CallState &call, TimePoint now) const {
+bool DirectNode::mustDefer(const CallState &call, TimePoint now) const {
   RequestDigest request = call.Request.Digest;
   for (const auto &[id, runs] : Checks)
     if (std::any_of(runs.begin(), runs.end(),
@@ -191,8 +194,8 @@
 /// Returns the endpoints that run suspect requests other than \p call's. If an
 /// endpoint crashed while running two suspects, the crash could not be
 /// attributed to either of them.
-std::set<LifeDigest> DirectNode::livesOfSuspects(const CallState &call,
-                                                 TimePoint now) const {
+std::set<LifeDigest> DirectNode::incarnationsOfSuspects(const CallState &call,
+                                                        TimePoint now) const {
   std::set<LifeDigest> out = Crashes.livesOfOthers(call.Request.Digest, now);
   for (const auto &[id, other] : Calls) {
     const EndpointState *state =
--- a/lib/Direct/DirectMoves.cpp
+++ b/lib/Direct/DirectMoves.cpp
@@ -22,8 +22,8 @@
     Silent.insert(id);
     Book.onFailure(*call.Current, now);
   }
-  if (!tryMove(call, MoveReason::Silent, now) && isNew)
-    noteWait(call, now);
+  if (!tryMigrate(call, MoveReason::Silent, now) && isNew)
+    recordWait(call, now);
   return takeActions();
 }
 
@@ -40,20 +40,21 @@
 /// endpoint: a slot there and a retry from the budget are reserved first. When
 /// both were only looked up, many streams were stopped for the same slot, and
 /// those that found the slot taken were cut.
-bool DirectNode::tryMove(CallState &call, MoveReason reason, TimePoint now) {
+bool DirectNode::tryMigrate(CallState &call, MoveReason reason, TimePoint now) {
   if (!Rates.isEmpty())
     refreshMembers(now);
   const RouteRule &route = *call.Request.Route;
-  std::size_t entries = entriesToShare(now);
-  bool mayMove = route.canResume() || (route.isRepeatable() && !call.HasBegun);
-  if (!mayMove || call.IsStopping || isSuspect(call) || !mayTry(call, now) ||
-      !Retries.canSpend(call.Service, entries, now))
+  std::size_t entries = countSharingEntries(now);
+  bool mayMigrate =
+      route.canResume() || (route.isRepeatable() && !call.HasBegun);
+  if (!mayMigrate || call.IsStopping || isSuspect(call) ||
+      !mayAttempt(call, now) || !Retries.canSpend(call.Service, entries, now))
     return false;
   const EndpointState *state = Picker.pick(call, now);
   if (!state || Picker.isDoubtful(*state, now))
     return false;
   Retries.spend(call.Service, entries, now);
-  call.IsNextCounted = Rates.isLimited(state->Life);
+  call.IsNextCharged = Rates.isLimited(state->Life);
   Rates.take(state->Life, now);
   call.Next = state->Record;
   call.IsStopping = true;
@@ -68,7 +69,7 @@
 /// Starts the next attempt at the endpoint where a slot is reserved for the
 /// call. Returns false if no slot is reserved, the endpoint no longer accepts
 /// requests, or the deadline has passed.
-bool DirectNode::goOn(CallState &call, TimePoint now) {
+bool DirectNode::startNext(CallState &call, TimePoint now) {
   if (!call.Next)
     return false;
   const EndpointState *state = Book.find(call.Next->Id);
@@ -77,16 +78,16 @@
     return false;
   }
   EndpointRecord next = *std::exchange(call.Next, std::nullopt);
-  call.IsCounted = call.IsNextCounted;
-  begin(call, next, now);
+  call.IsCharged = call.IsNextCharged;
+  startAttempt(call, next, now);
   return true;
 }
 
 void DirectNode::releaseNext(CallState &call) {
   if (!call.Next)
     return;
-  Book.dropUnread(call.Next->Id, call.Request.Tokens.Prompt);
+  Book.dropPendingPrompt(call.Next->Id, call.Request.Tokens.Prompt);
   Book.onEnded(call.Next->Id, false);
-  Retries.giveBack(call.Service);
+  Retries.refund(call.Service);
   call.Next.reset();
 }
--- a/lib/Direct/DirectNode.cpp
+++ b/lib/Direct/DirectNode.cpp
@@ -15,7 +15,7 @@
 /// How long a request whose endpoint cut the connection may wait for the
 /// endpoint's fate to be known, regardless of how long it has already waited.
 /// The check takes at most 0.3 s and the evaluation 0.1 s.
-static constexpr Duration FateWait = std::chrono::milliseconds(500);
+static constexpr Duration FateCheckWait = std::chrono::milliseconds(500);
 
 /// Weight of the latest sample in the running mean of the time to first byte.
 static constexpr double FirstByteWeight = 0.1;
@@ -64,8 +64,8 @@
     return takeActions();
   it->second.HasFirstByte = true;
   it->second.HasBegun = true;
-  noteHeard(it->second, now);
-  noteFirstByte(it->second, now);
+  recordReceived(it->second, now);
+  recordFirstByte(it->second, now);
   Book.onFirstByte(*it->second.Current, it->second.Request.Tokens.Prompt, now);
   startWaiting(now);
   return takeActions();
@@ -76,29 +76,29 @@
   if (it == Calls.end() || !it->second.Current)
     return takeActions();
   CallState &call = it->second;
-  ++call.Parts;
-  Duration gap = now - call.HeardAt;
-  noteHeard(call, now);
+  ++call.ReceivedParts;
+  Duration gap = now - call.ReceivedAt;
+  recordReceived(call, now);
   if (gap > Duration::zero())
     Book.onEvents(*call.Current, gap, now);
   if (isTooSlow(call, now))
-    tryMove(call, MoveReason::TooSlow, now);
+    tryMigrate(call, MoveReason::TooSlow, now);
   return takeActions();
 }
 
-void DirectNode::noteHeard(CallState &call, TimePoint now) {
-  call.HeardAt = now;
+void DirectNode::recordReceived(CallState &call, TimePoint now) {
+  call.ReceivedAt = now;
   if (std::exchange(call.IsSilent, false))
     Silent.erase(call.Request.Id);
 }
 
-void DirectNode::noteFirstByte(const CallState &call, TimePoint now) {
+void DirectNode::recordFirstByte(const CallState &call, TimePoint now) {
   Duration taken = now - call.SentAt;
   auto [it, isFirst] = FirstByteTimes.try_emplace(call.Service, taken);
   it->second += partOf(taken - it->second, FirstByteWeight);
 }
 
-Duration DirectNode::silenceFor(const CallState &call) const {
+Duration DirectNode::allowedSilence(const CallState &call) const {
   auto it = FirstByteTimes.find(call.Service);
   if (it == FirstByteTimes.end())
     return Limits.MaxSilence;
@@ -115,9 +115,9 @@
   CallState &call = it->second;
   const RouteRule &route = *call.Request.Route;
   bool isRepeatable = route.isRepeatable();
-  noteEvidence(call, end, now);
+  recordOutcome(call, end, now);
   if (connection == ConnectionEnd::Endpoint)
-    noteCut(call, now);
+    handleCutConnection(call, now);
   if (end == AttemptEnd::Complete || end == AttemptEnd::Failed)
     Crashes.onWhole(call.Request.Digest, now);
   // The endpoint's rate limit, backoff or draining state decides when the
@@ -131,7 +131,7 @@
     Calls.erase(it);
     break;
   case AttemptEnd::Full:
-    call.WasTurnedAway = true;
+    call.WasRejected = true;
     // The request did not run there. When a group breaks, its other ranks
     // reject the streams that broke off; cutting those callers in mid-stream
     // would cost more than the retry that this takes anyway.
@@ -149,15 +149,15 @@
     --call.Attempts;
     // An attempt that was not sent is not a retry.
     if (--call.Arrivals > 0)
-      Retries.giveBack(call.Service);
-    if (!goOn(call, now))
+      Retries.refund(call.Service);
+    if (!startNext(call, now))
       startOrWait(call, now);
     break;
   case AttemptEnd::Failed:
-    if (goOn(call, now) ||
+    if (startNext(call, now) ||
         (isRepeatable && call.Attempts < route.Attempts && tryStart(call, now)))
       break;
-    if (call.HasBegun && mayTry(call, now)) {
+    if (call.HasBegun && mayAttempt(call, now)) {
       wait(call, now);
       break;
     }
@@ -178,7 +178,7 @@
       this->end(call, ResultCode::EndpointFailed, Duration::zero());
     break;
   }
-  ask(now);
+  sendStatusQueries(now);
   startWaiting(now);
   return takeActions();
 }
@@ -197,9 +197,9 @@
 
 DirectActions DirectNode::onTimer(TimePoint now) {
   LastTimer = now;
-  Book.forgetFull(now);
+  Book.clearExpiredFull(now);
   judgeCrashes(now);
-  ask(now);
+  sendStatusQueries(now);
   startWaiting(now);
   std::vector<CallId> late;
   for (const auto &[priority, arrived, id] : Waiting)
@@ -211,7 +211,7 @@
 }
 
 std::optional<TimePoint> DirectNode::nextTimer() const {
-  std::optional<TimePoint> next = Book.nextQuestion();
+  std::optional<TimePoint> next = Book.nextStatusQuery();
   auto include = [&next](std::optional<TimePoint> due) {
     if (due && (!next || *due < *next))
       next = due;
@@ -220,7 +220,7 @@
   for (const auto &[priority, arrived, id] : Waiting)
     include(Calls.at(id).waitLimit());
   for (const auto &[priority, arrived, id] : Waiting)
-    include(Calls.at(id).TurnAt);
+    include(Calls.at(id).CopyStartAt);
   if (!Waiting.empty()) {
     include(Book.nextFree());
     include(Rates.nextRoom(LastTimer));
@@ -234,12 +234,12 @@
 void DirectNode::startOrWait(CallState &call, TimePoint now) {
   if (tryStart(call, now))
     return;
-  bool isCrowded = !call.HasBegun && Waiting.size() >= Limits.MaxWaiting;
-  if (now >= call.waitLimit() || isCrowded) {
+  bool isQueueFull = !call.HasBegun && Waiting.size() >= Limits.MaxWaiting;
+  if (now >= call.waitLimit() || isQueueFull) {
     endNotRun(call, ResultCode::NoEndpoint, now);
     return;
   }
-  if (isHopeless(call, now)) {
+  if (isUnservable(call, now)) {
     endNotRun(call, ResultCode::NoEndpoint, now);
     return;
   }
@@ -248,58 +248,58 @@
 
 void DirectNode::wait(const CallState &call, TimePoint now) {
   Waiting.emplace(call.Request.Priority, call.Arrived, call.Request.Id);
-  noteWait(call, now);
+  recordWait(call, now);
 }
 
-void DirectNode::noteWait(const CallState &call, TimePoint now) {
-  bool hasRepeat = call.Arrivals == 0 ||
-                   Retries.canSpend(call.Service, entriesToShare(now), now);
+void DirectNode::recordWait(const CallState &call, TimePoint now) {
+  bool hasRetry = call.Arrivals == 0 ||
+                  Retries.canSpend(call.Service, countSharingEntries(now), now);
   unsigned attempts = call.Request.Route->Attempts;
   unsigned left = attempts - std::min(attempts, call.Attempts);
   Notes.push_back({call.Request.Id, call.Arrivals, left, call.IsSilent,
-                   hasRepeat, entriesToShare(now),
+                   hasRetry, countSharingEntries(now),
                    Picker.countObstacles(call, now)});
 }
 
 bool DirectNode::tryStart(CallState &call, TimePoint now) {
   if (!Rates.isEmpty())
     refreshMembers(now);
-  if (mustStandBack(call, now)) {
-    call.TurnAt.reset();
+  if (mustDefer(call, now)) {
+    call.CopyStartAt.reset();
     return false;
   }
   const EndpointState *state =
       isSuspect(call) ? pickForSuspect(call, now) : Picker.pick(call, now);
   if (!state)
     return false;
-  bool isRepeat = call.Arrivals > 0;
-  if (isRepeat && !Retries.spend(call.Service, entriesToShare(now), now))
+  bool isRetry = call.Arrivals > 0;
+  if (isRetry && !Retries.spend(call.Service, countSharingEntries(now), now))
     return false;
-  call.IsCounted = Rates.isLimited(state->Life);
+  call.IsCharged = Rates.isLimited(state->Life);
   Rates.take(state->Life, now);
   Book.onStarted(state->Record.Id, call.Request.Tokens.Prompt);
-  begin(call, state->Record, now);
+  startAttempt(call, state->Record, now);
   return true;
 }
 
 /// Returns the number of entries that share the retry allowance; 0 while their
 /// number is unknown.
-std::size_t DirectNode::entriesToShare(TimePoint now) const {
+std::size_t DirectNode::countSharingEntries(TimePoint now) const {
   if (MustKnowFleet && !Fleet.isListed())
     return 0;
   return Fleet.count(Retries.bounds().Window, now);
 }
 
 /// Sends the request to \p endpoint, where a slot is reserved for it.
-void DirectNode::begin(CallState &call, const EndpointRecord &endpoint,
-                       TimePoint now) {
+void DirectNode::startAttempt(CallState &call, const EndpointRecord &endpoint,
+                              TimePoint now) {
   ++call.Attempts;
   ++call.Arrivals;
   call.Current = endpoint.Id;
   call.IsStopping = false;
   call.SentAt = now;
-  call.HeardAt = now;
-  call.Silence = silenceFor(call);
+  call.ReceivedAt = now;
+  call.Silence = allowedSilence(call);
   call.Tried.insert(endpoint.Id);
   Out.emplace_back(StartAttempt{call.Request.Id, endpoint, call.Deadline,
                                 call.Attempts, call.Silence});
@@ -312,7 +312,7 @@
 void DirectNode::startWaiting(TimePoint now) {
   startWaiting(true, now);
   for (CallId id : std::vector<CallId>(Silent.begin(), Silent.end()))
-    tryMove(Calls.at(id), MoveReason::Silent, now);
+    tryMigrate(Calls.at(id), MoveReason::Silent, now);
   startWaiting(false, now);
 }
 
@@ -325,7 +325,7 @@
   }
 }
 
-bool DirectNode::mayTry(const CallState &call, TimePoint now) const {
+bool DirectNode::mayAttempt(const CallState &call, TimePoint now) const {
   const RouteRule &route = *call.Request.Route;
   return (!call.MayHaveRun || route.isRepeatable()) &&
          call.Attempts < route.Attempts && call.Arrivals < Limits.MaxArrivals &&
@@ -341,15 +341,15 @@
     end(call, ResultCode::RequestQuarantined, Duration::zero());
     return;
   }
-  if (goOn(call, now))
+  if (startNext(call, now))
     return;
-  bool canTry = mayTry(call, now);
-  if (canTry && mustStandBack(call, now))
+  bool canTry = mayAttempt(call, now);
+  if (canTry && mustDefer(call, now))
     call.WaitUntil =
-        std::max(call.WaitUntil, std::min(now + FateWait, call.Deadline));
+        std::max(call.WaitUntil, std::min(now + FateCheckWait, call.Deadline));
   if (canTry && tryStart(call, now))
     return;
-  if (canTry && now < call.waitLimit() && !isHopeless(call, now))
+  if (canTry && now < call.waitLimit() && !isUnservable(call, now))
     wait(call, now);
   else if (describe(reason).Kind == Outcome::NotRun)
     endNotRun(call, reason, now);
@@ -361,10 +361,11 @@
 void DirectNode::endNotRun(CallState &call, ResultCode code, TimePoint now) {
   if (call.MayHaveRun)
     end(call, ResultCode::ContactLost, Duration::zero());
-  else if (ResultCode cause = heldBackBy(call, now); cause != ResultCode::Ok)
-    end(call, cause, expectedRoom(call, now));
+  else if (ResultCode cause = pushbackReason(call, now);
+           cause != ResultCode::Ok)
+    end(call, cause, expectedCapacityDelay(call, now));
   else
-    end(call, code, expectedDrain(call, now));
+    end(call, code, expectedQueueDelay(call, now));
 }
 
 void DirectNode::end(CallState &call, ResultCode code, Duration retryAfter) {
@@ -380,15 +381,15 @@
     return;
   if (std::exchange(call.IsSilent, false))
     Silent.erase(call.Request.Id);
-  bool wasWriting = std::exchange(call.HasFirstByte, false);
-  if (!wasWriting)
-    Book.dropUnread(*call.Current, call.Request.Tokens.Prompt);
-  Book.onEnded(*call.Current, wasWriting);
+  bool wasDecoding = std::exchange(call.HasFirstByte, false);
+  if (!wasDecoding)
+    Book.dropPendingPrompt(*call.Current, call.Request.Tokens.Prompt);
+  Book.onEnded(*call.Current, wasDecoding);
   call.Current.reset();
 }
 
-void DirectNode::noteEvidence(const CallState &call, AttemptEnd end,
-                              TimePoint now) {
+void DirectNode::recordOutcome(const CallState &call, AttemptEnd end,
+                               TimePoint now) {
   const EndpointId &id = *call.Current;
   switch (end) {
   case AttemptEnd::Complete:
@@ -414,8 +415,8 @@
     // that was stopped here or by its deadline is no sign of a failure.
     if (!call.IsSilent && !call.IsStopping && now < call.Deadline)
       Book.onFailure(id, now);
-    if (now - call.HeardAt >= call.Silence)
-      Book.onSilence(id, now - call.HeardAt, now);
+    if (now - call.ReceivedAt >= call.Silence)
+      Book.onSilence(id, now - call.ReceivedAt, now);
     break;
   }
 }
--- a/lib/Direct/DirectPushback.cpp
+++ b/lib/Direct/DirectPushback.cpp
@@ -15,7 +15,7 @@
 
 /// Interval at which the members of the fleet are counted again while rate
 /// limits are in force.
-static constexpr Duration MembersAge = std::chrono::milliseconds(200);
+static constexpr Duration MembersMaxAge = std::chrono::milliseconds(200);
 /// An entry without a call for this long counts as having no callers.
 static constexpr Duration IdleAfter = std::chrono::seconds(3);
 /// Time until all other entries know that this entry has callers again, and
@@ -23,15 +23,15 @@
 static constexpr Duration ActiveSettleTime = std::chrono::seconds(1);
 /// How long a starting entry asks the others for the rate limits that they
 /// know.
-static constexpr Duration NewTime = std::chrono::seconds(1);
+static constexpr Duration StartupQueryTime = std::chrono::seconds(1);
 /// Bounds of the time after which a refused caller should retry, and the upper
 /// bound where endpoints asked for the wait.
 static constexpr Duration MinRetryAfter = std::chrono::milliseconds(150);
 static constexpr Duration MaxRetryAfter = std::chrono::seconds(2);
-static constexpr Duration MaxAskedRetryAfter = std::chrono::seconds(10);
+static constexpr Duration MaxPushbackRetryAfter = std::chrono::seconds(10);
 
 void DirectNode::refreshMembers(TimePoint now) {
-  if (MembersAt && now - *MembersAt < MembersAge)
+  if (MembersAt && now - *MembersAt < MembersMaxAge)
     return;
   MembersAt = now;
   FleetMembers members;
@@ -50,7 +50,7 @@
 }
 
 bool DirectNode::isNew(TimePoint now) const {
-  return Begin && now - *Begin < NewTime;
+  return Begin && now - *Begin < StartupQueryTime;
 }
 
 DirectActions DirectNode::onPushback(const EndpointId &id,
@@ -72,7 +72,7 @@
                    sentAt.value_or(TimePoint()), now);
   }
   if (asked.Rest || asked.IsLeaving || Rates.hasNotes())
-    onLessRoom(now);
+    onLimitsChanged(now);
   return takeActions();
 }
 
@@ -86,7 +86,7 @@
   };
   Rates.merge(rows, isKnown, now);
   if (Rates.hasNotes())
-    onLessRoom(now);
+    onLimitsChanged(now);
   return takeActions();
 }
 
@@ -100,11 +100,11 @@
 
 /// Serves and ends waiting calls after the limits of endpoints changed, usually
 /// to lower values.
-void DirectNode::onLessRoom(TimePoint now) {
+void DirectNode::onLimitsChanged(TimePoint now) {
   if (Waiting.empty())
     return;
   startWaiting(now);
-  endHopeless(now);
+  endUnservable(now);
 }
 
 bool DirectNode::maySend(CallId id, TimePoint now) {
@@ -115,9 +115,9 @@
   const EndpointState *state = Book.find(*call.Current);
   if (state && isClosed(*state, now))
     return false;
-  if (!state || call.IsCounted)
+  if (!state || call.IsCharged)
     return true;
-  call.IsCounted = Rates.isLimited(state->Life);
+  call.IsCharged = Rates.isLimited(state->Life);
   return Rates.take(state->Life, now);
 }
 
@@ -135,7 +135,8 @@
 /// Returns why the call is held back if every endpoint that it may use is
 /// excluded by a rate limit or a backoff that the endpoint asked for; otherwise
 /// Ok.
-ResultCode DirectNode::heldBackBy(const CallState &call, TimePoint now) const {
+ResultCode DirectNode::pushbackReason(const CallState &call,
+                                      TimePoint now) const {
   bool isNoneAsked = Rates.limitedCount() == 0 && Closed.isEmpty();
   if (isNoneAsked || call.HasBegun)
     return ResultCode::Ok;
@@ -157,8 +158,8 @@
 /// Whether a call held back by its endpoints' requests cannot be started before
 /// its wait ends: the backoffs last longer, and what this entry may send by
 /// then is used up by the calls that wait.
-bool DirectNode::isHopeless(const CallState &call, TimePoint now) const {
-  if (heldBackBy(call, now) == ResultCode::Ok)
+bool DirectNode::isUnservable(const CallState &call, TimePoint now) const {
+  if (pushbackReason(call, now) == ResultCode::Ok)
     return false;
   TimePoint until = call.waitLimit();
   double room = 0;
@@ -177,21 +178,22 @@
 
 /// Ends the waiting calls that cannot be served in time, the last in the queue
 /// first.
-void DirectNode::endHopeless(TimePoint now) {
+void DirectNode::endUnservable(TimePoint now) {
   if (Rates.limitedCount() == 0 && Closed.isEmpty())
     return;
   std::vector<CallId> waiting;
   for (const auto &[priority, arrived, id] : Waiting)
     waiting.push_back(id);
   for (auto it = waiting.rbegin(); it != waiting.rend(); ++it)
-    if (CallState &call = Calls.at(*it); isHopeless(call, now))
+    if (CallState &call = Calls.at(*it); isUnservable(call, now))
       endNotRun(call, ResultCode::NoEndpoint, now);
 }
 
 /// Returns when a refused caller may find capacity: the time to serve all
 /// waiting calls, at the rate at which a fully loaded service completes
 /// requests.
-Duration DirectNode::expectedDrain(const CallState &call, TimePoint now) const {
+Duration DirectNode::expectedQueueDelay(const CallState &call,
+                                        TimePoint now) const {
   unsigned running = 0;
   for (const auto &[id, state] : Book.states())
     if (state.Record.Service == call.Service)
@@ -209,26 +211,28 @@
 /// is drawn at random, so that callers that were refused together do not return
 /// together: around the time that this entry's share of the advertised rates
 /// takes to serve them, or after the end of the first backoff.
-Duration DirectNode::expectedRoom(const CallState &call, TimePoint now) {
+Duration DirectNode::expectedCapacityDelay(const CallState &call,
+                                           TimePoint now) {
   double rate = 0;
   for (const EndpointState *it : Picker.statesOf(call.Service))
     if (Rates.isLimited(it->Life) && !isClosed(*it, now))
       rate += std::max(Rates.namedRate(it->Life), RateLimits::MinPerSecond);
   if (rate == 0)
-    return expectedRestEnd(call, now);
+    return expectedBackoffDelay(call, now);
   double own = rate / double(Rates.memberCount());
   // The other callers that were recently refused need to be served as well.
   double ahead = std::max(1.0, Arrivals.perSecond(call.Service, now));
   auto mean = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(ahead / own));
-  mean = std::clamp(mean, 2 * MinRetryAfter, MaxAskedRetryAfter);
-  return draw(mean / 2, mean * 3 / 2);
+  mean = std::clamp(mean, 2 * MinRetryAfter, MaxPushbackRetryAfter);
+  return drawUniform(mean / 2, mean * 3 / 2);
 }
 
 /// Returns a random time after the first backoff ends, spread over the time
 /// that the endpoints need to serve the callers that will have been refused by
 /// then.
-Duration DirectNode::expectedRestEnd(const CallState &call, TimePoint now) {
+Duration DirectNode::expectedBackoffDelay(const CallState &call,
+                                          TimePoint now) {
   std::optional<TimePoint> first;
   unsigned slots = 0;
   for (const EndpointState *it : Picker.statesOf(call.Service)) {
@@ -239,8 +243,8 @@
     slots += it->Record.Slots;
   }
   Duration left = first ? *first - now : Duration::zero();
-  double turnedAway = Arrivals.perSecond(call.Service, now) *
-                      std::chrono::duration<double>(left).count();
+  double rejected = Arrivals.perSecond(call.Service, now) *
+                    std::chrono::duration<double>(left).count();
   // A request runs for a second or two at an engine. The route's latency target
   // is the only available figure that scales with this time.
   double each =
@@ -248,13 +252,13 @@
   double entries = double(Book.livePeers(now) + 1);
   auto spread =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
-          turnedAway * 4 * each * entries / std::max(1U, slots)));
+          rejected * 4 * each * entries / std::max(1U, slots)));
   spread = std::clamp(spread, std::max<Duration>(2 * MinRetryAfter, left / 4),
-                      MaxAskedRetryAfter);
-  return left + draw(Duration::zero(), spread);
+                      MaxPushbackRetryAfter);
+  return left + drawUniform(Duration::zero(), spread);
 }
 
-Duration DirectNode::draw(Duration least, Duration most) {
+Duration DirectNode::drawUniform(Duration least, Duration most) {
   std::uniform_int_distribution<Duration::rep> spread(least.count(),
                                                       most.count());
   return Duration(spread(Random));
--- a/lib/Direct/DirectQuestions.cpp
+++ b/lib/Direct/DirectQuestions.cpp
@@ -16,24 +16,24 @@
                    const std::optional<EndpointCondition> &condition,
                    TimePoint now) {
   Book.onTold(id, condition, now);
-  ask(now);
+  sendStatusQueries(now);
   startWaiting(now);
   return takeActions();
 }
 
-void DirectNode::ask(TimePoint now) {
-  auto mayBeAsked = [this, now](const EndpointState &it) {
-    return mayAsk(it, now);
+void DirectNode::sendStatusQueries(TimePoint now) {
+  auto mayBeQueried = [this, now](const EndpointState &it) {
+    return mayQuery(it, now);
   };
-  for (EndpointRecord &it : Book.takeQuestions(mayBeAsked, now))
+  for (EndpointRecord &it : Book.takeStatusQueries(mayBeQueried, now))
     Out.emplace_back(AskEndpoint{std::move(it)});
-  for (EndpointRecord &it : Book.takePaceQuestions(mayBeAsked, now, Random))
+  for (EndpointRecord &it : Book.takeSlowdownQueries(mayBeQueried, now, Random))
     Out.emplace_back(AskEndpoint{std::move(it)});
 }
 
 /// Whether a status query may be sent to the endpoint. A query counts toward
 /// the endpoint's limits like a request.
-bool DirectNode::mayAsk(const EndpointState &state, TimePoint now) {
+bool DirectNode::mayQuery(const EndpointState &state, TimePoint now) {
   if (isClosed(state, now))
     return false;
   if (!Rates.isEmpty())
--- a/lib/Direct/EndpointBook.cpp
+++ b/lib/Direct/EndpointBook.cpp
@@ -16,7 +16,7 @@
 /// reached before.
 static constexpr unsigned MaxDoublings = 10;
 
-static GroupPaces::Key groupKey(const EndpointState &state) {
+static GroupGaps::Key groupKey(const EndpointState &state) {
   return {state.Record.Service, state.Group};
 }
 
@@ -28,7 +28,7 @@
     // A group that is being formed would reject requests, and each rejection
     // leads to a retry, which the retry budget limits.
     if (isNew) {
-      state.MustTell = it.Record.TellsState;
+      state.MustReport = it.Record.TellsState;
       state.Life = digestLife(it.Record.Id);
     }
     state.Record = it.Record;
@@ -55,67 +55,68 @@
     if (!state)
       continue;
     state->Pace = it.Pace;
-    state->PaceAt = now;
+    state->SlowdownAt = now;
   }
 }
 
 void EndpointBook::onStarted(const EndpointId &id, unsigned promptTokens) {
   if (EndpointState *it = findMutable(id)) {
     ++it->Own;
-    it->OwnUnread += promptTokens;
+    it->OwnPendingTokens += promptTokens;
   }
 }
 
 void EndpointBook::onFirstByte(const EndpointId &id, unsigned promptTokens,
                                TimePoint now) {
-  dropUnread(id, promptTokens);
+  dropPendingPrompt(id, promptTokens);
   if (EndpointState *it = findMutable(id)) {
     it->ProvenAt = now;
-    Paces.onBegun(groupKey(*it), now);
+    Gaps.onBegun(groupKey(*it), now);
   }
 }
 
 void EndpointBook::onEvents(const EndpointId &id, Duration gap, TimePoint now) {
   if (EndpointState *it = findMutable(id))
-    Paces.onEvents(groupKey(*it), gap, now);
+    Gaps.onEvents(groupKey(*it), gap, now);
 }
 
 void EndpointBook::onSilence(const EndpointId &id, Duration silence,
                              TimePoint now) {
   if (EndpointState *it = findMutable(id))
-    Paces.onSilence(groupKey(*it), silence, now);
+    Gaps.onSilence(groupKey(*it), silence, now);
 }
 
 Duration EndpointBook::gapOf(const EndpointState &state, TimePoint now) const {
   return state.Group.get().empty() ? Duration::zero()
-                                   : Paces.gapOf(groupKey(state), now);
+                                   : Gaps.gapOf(groupKey(state), now);
 }
 
-Duration EndpointBook::sureGapOf(const EndpointState &state,
-                                 TimePoint now) const {
+Duration EndpointBook::confirmedGapOf(const EndpointState &state,
+                                      TimePoint now) const {
   return state.Group.get().empty() ? Duration::zero()
-                                   : Paces.sureGapOf(groupKey(state), now);
+                                   : Gaps.confirmedGapOf(groupKey(state), now);
 }
 
-void EndpointBook::dropUnread(const EndpointId &id, unsigned promptTokens) {
+void EndpointBook::dropPendingPrompt(const EndpointId &id,
+                                     unsigned promptTokens) {
   if (EndpointState *it = findMutable(id))
-    it->OwnUnread -= std::min(it->OwnUnread, promptTokens);
+    it->OwnPendingTokens -= std::min(it->OwnPendingTokens, promptTokens);
 }
 
-void EndpointBook::onEnded(const EndpointId &id, bool wasWriting) {
+void EndpointBook::onEnded(const EndpointId &id, bool wasDecoding) {
   EndpointState *it = findMutable(id);
   if (it && it->Own > 0)
     --it->Own;
-  if (it && wasWriting)
-    Paces.onEnded(groupKey(*it));
+  if (it && wasDecoding)
+    Gaps.onEnded(groupKey(*it));
 }
 
 void EndpointBook::onSuccess(const EndpointId &id, TimePoint now) {
   if (EndpointState *it = findMutable(id)) {
     it->ProvenAt = now;
-    it->FailuresInRow = 0;
-    it->FailedAnswersInRow = 0;
-    it->FullInRow = 0;
+    it->ConsecutiveFailures = 0;
+    it->ConsecutiveFailedResponses = 0;
+    it->ConsecutiveFull = 0;
     it->SuspectUntil = TimePoint();
   }
 }
@@ -125,14 +126,14 @@
   // Failures during the suspicion time count as one failure.
   if (!it || now < it->SuspectUntil)
     return;
-  Duration pause = FirstSuspicion * (1U << it->FailuresInRow);
+  Duration pause = FirstSuspicion * (1U << it->ConsecutiveFailures);
   it->SuspectUntil = now + std::min(pause, LongestSuspicion);
-  it->FailuresInRow = std::min(it->FailuresInRow + 1, MaxDoublings);
+  it->ConsecutiveFailures = std::min(it->ConsecutiveFailures + 1, MaxDoublings);
 }
 
 void EndpointBook::onFailedAnswer(const EndpointId &id, TimePoint now) {
   EndpointState *it = findMutable(id);
-  if (it && ++it->FailedAnswersInRow >= SuspectFailedAnswers)
+  if (it && ++it->ConsecutiveFailedResponses >= SuspectFailedResponses)
     onFailure(id, now);
 }
 
@@ -141,24 +142,24 @@
   if (!it)
     return;
   // The rejected request itself still counts as running.
-  bool hadRoom = totalLoad(*it, now).Running <= it->Record.Slots / 2;
-  if (hadRoom && it->Record.TellsState) {
+  bool hadCapacity = totalLoad(*it, now).Running <= it->Record.Slots / 2;
+  if (hadCapacity && it->Record.TellsState) {
     for (EndpointState *member : groupOf(*it)) {
-      member->MustTell = true;
-      member->AskAt = now;
+      member->MustReport = true;
+      member->QueryAt = now;
     }
     return;
   }
-  pauseFull(*it, now);
+  extendFull(*it, now);
 }
 
-void EndpointBook::pauseFull(EndpointState &state, TimePoint now) {
-  Duration pause = FullTime * (1U << state.FullInRow);
+void EndpointBook::extendFull(EndpointState &state, TimePoint now) {
+  Duration pause = FullTime * (1U << state.ConsecutiveFull);
   state.FullUntil = now + std::min(pause, LongestFullTime);
-  state.FullInRow = std::min(state.FullInRow + 1, MaxDoublings);
+  state.ConsecutiveFull = std::min(state.ConsecutiveFull + 1, MaxDoublings);
 }
 
-void EndpointBook::forgetFull(TimePoint now) {
+void EndpointBook::clearExpiredFull(TimePoint now) {
   for (auto &[id, state] : States)
     if (state.FullUntil <= now)
       state.FullUntil = TimePoint();
@@ -172,15 +173,15 @@
   return next;
 }
 
-std::vector<EndpointId> EndpointBook::onLifeEnded(const EndpointId &id,
-                                                  TimePoint now) {
+std::vector<EndpointId> EndpointBook::onIncarnationEnded(const EndpointId &id,
+                                                         TimePoint now) {
   EndpointState *ended = findMutable(id);
   if (!ended || !ended->Record.TellsState)
     return {};
   std::vector<EndpointId> out;
   for (EndpointState *it : groupOf(*ended)) {
-    it->MustTell = true;
-    it->AskAt = now + BrokenPause;
+    it->MustReport = true;
+    it->QueryAt = now + CrashedGroupDelay;
     out.push_back(it->Record.Id);
   }
   return out;
@@ -191,7 +192,7 @@
   if (!it)
     return;
   if (now >= it->ReplacedUntil)
-    it->ReplacedTellings = ReplacedRepeats;
+    it->RemainingReplacedReports = ReplacedReports;
   it->ReplacedUntil = now + ReplacedTime;
 }
 
@@ -207,65 +208,68 @@
 std::vector<LifeDigest> EndpointBook::takeReplacedReport() {
   std::vector<LifeDigest> out;
   for (auto &[id, state] : States) {
-    if (state.ReplacedTellings == 0 || out.size() >= MaxToldReplaced)
+    if (state.RemainingReplacedReports == 0 ||
+        out.size() >= MaxReplacedPerReport)
       continue;
-    --state.ReplacedTellings;
+    --state.RemainingReplacedReports;
     out.push_back(state.Life);
   }
   return out;
 }
 
-std::vector<EndpointRecord> EndpointBook::takeQuestions(const MayAsk &mayAsk,
-                                                        TimePoint now) {
+std::vector<EndpointRecord>
+EndpointBook::takeStatusQueries(const MayQuery &mayQuery, TimePoint now) {
   std::vector<EndpointRecord> out;
   for (auto &[id, state] : States) {
-    if (!state.MustTell || now < state.AskAt)
+    if (!state.MustReport || now < state.QueryAt)
       continue;
-    if (!mayAsk(state)) {
-      state.AskAt = now + askPause(now);
+    if (!mayQuery(state)) {
+      state.QueryAt = now + queryInterval(now);
       continue;
     }
     out.push_back(state.Record);
     for (EndpointState *member : groupOf(state))
-      member->AskAt = now + AskTimeout;
+      member->QueryAt = now + QueryTimeout;
   }
   return out;
 }
 
 std::vector<EndpointRecord>
-EndpointBook::takePaceQuestions(const MayAsk &mayAsk, TimePoint now,
-                                std::mt19937_64 &random) {
+EndpointBook::takeSlowdownQueries(const MayQuery &mayQuery, TimePoint now,
+                                  std::mt19937_64 &random) {
   std::vector<EndpointRecord> out;
   std::size_t others = livePeers(now);
-  // Each entry's interval is uniform in [0, 2 * PaceEvery * entries], so the
-  // mean interval between the queries of all entries is PaceEvery.
-  Duration turns = others > 0 ? 2 * PaceEvery * int(others + 1) : Duration();
+  // Each entry's interval is uniform in [0, 2 * SlowdownInterval * entries], so
+  // the mean interval between the queries of all entries is SlowdownInterval.
+  Duration turns =
+      others > 0 ? 2 * SlowdownInterval * int(others + 1) : Duration();
   std::uniform_int_distribution<Duration::rep> turn(0, turns.count());
   for (auto &[id, state] : States) {
-    bool isSlow = state.Record.TellsState && gapOf(state, now) >= SlowPass;
-    if (!isSlow || state.MustTell) {
-      state.AskPaceAt.reset();
+    bool isSlow =
+        state.Record.TellsState && gapOf(state, now) >= SlowIterationGap;
+    if (!isSlow || state.MustReport) {
+      state.QuerySlowdownAt.reset();
       continue;
     }
-    if (!state.AskPaceAt)
-      state.AskPaceAt = now + Duration(turn(random));
-    if (now < *state.AskPaceAt)
+    if (!state.QuerySlowdownAt)
+      state.QuerySlowdownAt = now + Duration(turn(random));
+    if (now < *state.QuerySlowdownAt)
       continue;
-    bool isKnown = now - state.PaceAt < PaceEvery;
-    if (!isKnown && mayAsk(state))
+    bool isKnown = now - state.SlowdownAt < SlowdownInterval;
+    if (!isKnown && mayQuery(state))
       out.push_back(state.Record);
-    TimePoint from = isKnown ? state.PaceAt : now;
-    state.AskPaceAt =
-        from + std::max<Duration>(PaceEvery, Duration(turn(random)));
+    TimePoint from = isKnown ? state.SlowdownAt : now;
+    state.QuerySlowdownAt =
+        from + std::max<Duration>(SlowdownInterval, Duration(turn(random)));
   }
   return out;
 }
 
-std::optional<TimePoint> EndpointBook::nextQuestion() const {
+std::optional<TimePoint> EndpointBook::nextStatusQuery() const {
   std::optional<TimePoint> next;
   for (const auto &[id, state] : States)
-    if (state.MustTell && (!next || state.AskAt < *next))
-      next = state.AskAt;
+    if (state.MustReport && (!next || state.QueryAt < *next))
+      next = state.QueryAt;
   return next;
 }
 
@@ -275,25 +279,25 @@
   EndpointState *told = findMutable(id);
   if (told && condition) {
     told->Pace = condition->Pace;
-    told->PaceAt = now;
-    told->PaceToldAt = now;
+    told->SlowdownAt = now;
+    told->SlowdownReportedAt = now;
   }
-  if (!told || !told->MustTell)
+  if (!told || !told->MustReport)
     return;
   if (!condition) {
-    onUnanswered(*told, now);
+    onNoResponse(*told, now);
     return;
   }
   told->Group = condition->Group;
-  told->UnansweredUntil = TimePoint();
+  told->UnresponsiveUntil = TimePoint();
   bool isFull = condition->Running >= told->Record.Slots;
   if (condition->IsOpen && isFull)
-    pauseFull(*told, now);
+    extendFull(*told, now);
   // Whether the group accepts requests is the same for all its ranks; the load
   // is the endpoint's own.
   for (EndpointState *it : groupOf(*told)) {
-    it->MustTell = !condition->IsOpen;
-    it->AskAt = std::max(now + askPause(now), it->UnansweredUntil);
+    it->MustReport = !condition->IsOpen;
+    it->QueryAt = std::max(now + queryInterval(now), it->UnresponsiveUntil);
   }
   if (condition->IsOpen && !isFull)
     told->ProvenAt = now;
@@ -302,21 +306,22 @@
 /// A status query without a response says nothing about the group, so another
 /// member is queried at once. Otherwise a group of which only this one endpoint
 /// is unreachable would stay closed to this entry for as long.
-void EndpointBook::onUnanswered(EndpointState &asked, TimePoint now) {
+void EndpointBook::onNoResponse(EndpointState &asked, TimePoint now) {
   onFailure(asked.Record.Id, now);
-  asked.AskAt = now + askPause(now);
+  asked.QueryAt = now + queryInterval(now);
   for (EndpointState *it : groupOf(asked)) {
     if (it == &asked)
       continue;
-    it->AskAt = std::max(now, it->UnansweredUntil);
-    asked.AskAt = now + AskTimeout;
+    it->QueryAt = std::max(now, it->UnresponsiveUntil);
+    asked.QueryAt = now + QueryTimeout;
   }
-  asked.UnansweredUntil = now + AskTimeout;
+  asked.UnresponsiveUntil = now + QueryTimeout;
 }
 
-Duration EndpointBook::askPause(TimePoint now) const {
+Duration EndpointBook::queryInterval(TimePoint now) const {
   std::size_t entries = livePeers(now) + 1;
-  return AskPause * ((entries + AskersPerPause - 1) / AskersPerPause);
+  return QueryInterval *
+         ((entries + MaxQueriesPerInterval - 1) / MaxQueriesPerInterval);
 }
 
 /// Returns \p state and the other endpoints of its group.
@@ -345,10 +350,10 @@
 
 EndpointLoad EndpointBook::totalLoad(const EndpointState &state,
                                      TimePoint now) const {
-  EndpointLoad out{state.Record.Id, state.Own, state.OwnUnread};
+  EndpointLoad out{state.Record.Id, state.Own, state.OwnPendingTokens};
   for (const auto &[name, peer] : Peers) {
     auto it = peer.Loads.find(state.Record.Id);
-    if (it == peer.Loads.end() || now - peer.At >= PeerLoadAge)
+    if (it == peer.Loads.end() || now - peer.At >= MaxPeerLoadAge)
       continue;
     out.Running += it->second.Running;
     out.Unread += it->second.Unread;
@@ -359,17 +364,17 @@
 std::vector<EndpointLoad> EndpointBook::ownLoads(TimePoint now) const {
   std::vector<EndpointLoad> out;
   for (const auto &[id, state] : States) {
-    bool isTold = now - state.PaceToldAt < PaceEvery;
-    if (state.Own > 0 || isTold)
-      out.push_back(
-          {id, state.Own, state.OwnUnread, isTold ? state.Pace : 0.0});
+    bool isReported = now - state.SlowdownReportedAt < SlowdownInterval;
+    if (state.Own > 0 || isReported)
+      out.push_back({id, state.Own, state.OwnPendingTokens,
+                     isReported ? state.Pace : 0.0});
   }
   return out;
 }
 
 std::size_t EndpointBook::livePeers(TimePoint now) const {
   return std::count_if(Peers.begin(), Peers.end(), [now](const auto &it) {
-    return now - it.second.At < PeerLoadAge;
+    return now - it.second.At < MaxPeerLoadAge;
   });
 }
 
--- a/lib/Direct/EndpointList.cpp
+++ b/lib/Direct/EndpointList.cpp
@@ -30,41 +30,41 @@
       continue;
     present.insert(it.Id);
     names.insert(it.Name);
-    Rows[it.Id] = {it, std::nullopt};
+    Tracked[it.Id] = {it, std::nullopt};
   }
   // An endpoint with a successor under its name or at its address has exited.
-  std::erase_if(Rows, [&](const auto &it) {
+  std::erase_if(Tracked, [&](const auto &it) {
     const EndpointRecord &record = it.second.Record;
     return !present.contains(it.first) &&
            (names.contains(record.Name) || latest.contains(record.Address));
   });
-  std::vector<Row *> vanished;
-  for (auto &[id, row] : Rows)
-    if (!row.DropAt && !present.contains(id))
-      vanished.push_back(&row);
-  bool areMany = vanished.size() * ManyOneIn > Rows.size();
-  for (Row *it : vanished)
-    it->DropAt = now + (areMany ? LapseGrace : MissingGrace);
+  std::vector<TrackedEndpoint *> vanished;
+  for (auto &[id, tracked] : Tracked)
+    if (!tracked.DropAt && !present.contains(id))
+      vanished.push_back(&tracked);
+  bool isMassLapse = vanished.size() * MassLapseDivisor > Tracked.size();
+  for (TrackedEndpoint *it : vanished)
+    it->DropAt = now + (isMassLapse ? LapseGrace : MissingGrace);
 }
 
 bool EndpointList::onTimer(TimePoint now) {
-  return std::erase_if(Rows, [now](const auto &it) {
+  return std::erase_if(Tracked, [now](const auto &it) {
            return it.second.DropAt && *it.second.DropAt <= now;
          }) > 0;
 }
 
 std::vector<ListedEndpoint> EndpointList::endpoints() const {
   std::vector<ListedEndpoint> out;
-  out.reserve(Rows.size());
-  for (const auto &[id, row] : Rows)
-    out.push_back({row.Record, row.DropAt.has_value()});
+  out.reserve(Tracked.size());
+  for (const auto &[id, tracked] : Tracked)
+    out.push_back({tracked.Record, tracked.DropAt.has_value()});
   return out;
 }
 
 std::optional<TimePoint> EndpointList::nextTimer() const {
   std::optional<TimePoint> next;
-  for (const auto &[id, row] : Rows)
-    if (row.DropAt && (!next || *row.DropAt < *next))
-      next = row.DropAt;
+  for (const auto &[id, tracked] : Tracked)
+    if (tracked.DropAt && (!next || *tracked.DropAt < *next))
+      next = tracked.DropAt;
   return next;
 }
--- a/lib/Direct/EndpointPicker.cpp
+++ b/lib/Direct/EndpointPicker.cpp
@@ -47,9 +47,9 @@
 }
 
 const EndpointState *
-EndpointPicker::pickApart(const CallState &call,
-                          const std::set<LifeDigest> &others, bool mustBeApart,
-                          TimePoint now) const {
+EndpointPicker::pickIsolated(const CallState &call,
+                             const std::set<LifeDigest> &others,
+                             bool mustBeIsolated, TimePoint now) const {
   std::vector<const EndpointState *> states = statesOf(call.Service);
   std::vector<const EndpointState *> usable;
   // All ranks of a group stall when one of them crashes.
@@ -57,7 +57,7 @@
   for (const EndpointState *it : states) {
     bool isShared = others.contains(it->Life);
     if (obstacleAt(*it, call, now) != Obstacle::None ||
-        (isShared && mustBeApart))
+        (isShared && mustBeIsolated))
       continue;
     usable.push_back(it);
     running[it->Group] = 0;
@@ -103,9 +103,10 @@
                                        TimePoint now) const {
   double others = Arrivals.perSecond(service, now) *
                   static_cast<double>(Book.livePeers(now));
-  double unheard = others * std::chrono::duration<double>(ReportDelay).count();
+  double unreported =
+      others * std::chrono::duration<double>(ReportDelay).count();
   return static_cast<std::size_t>(
-      std::ceil(static_cast<double>(endpoints) / (1 + unheard)));
+      std::ceil(static_cast<double>(endpoints) / (1 + unreported)));
 }
 
 bool EndpointPicker::isDoubtful(const EndpointState &state,
@@ -123,10 +124,10 @@
     return Obstacle::Tried;
   if (Closed.isResting(state.Life, now))
     return Obstacle::Resting;
-  if (now < state.FullUntil || now < state.ReplacedUntil || state.MustTell)
+  if (now < state.FullUntil || now < state.ReplacedUntil || state.MustReport)
     return Obstacle::Closed;
   // A rejection does not count as an attempt of a stream that has begun.
-  if (call.WasTurnedAway && !call.HasBegun &&
+  if (call.WasRejected && !call.HasBegun &&
       now - state.ProvenAt > Limits.ProvenTime)
     return Obstacle::Unproven;
   const ServiceRule *service = call.Request.Config->findService(call.Service);
@@ -137,7 +138,7 @@
   // All ranks of a group wait for the slowest one, so a slow rank's share of
   // requests is reduced by its slowdown factor.
   bool isFull = Book.totalLoad(state, now).Running >=
-                limit / EndpointBook::paceOf(state, now);
+                limit / EndpointBook::slowdownOf(state, now);
   if (isFull)
     return Obstacle::Full;
   return Rates.hasRoom(state.Life, now) ? Obstacle::None
@@ -163,8 +164,9 @@
   if (call.Request.Tokens.Answer > 0)
     tokens = std::min(tokens, call.Request.Tokens.Answer);
   // At least one more event is always expected.
-  unsigned parts = std::max(tokens / engine.StepsPerPass, call.Parts + 1);
-  return Book.sureGapOf(state, now) * (parts - call.Parts) <
+  unsigned parts =
+      std::max(tokens / engine.StepsPerPass, call.ReceivedParts + 1);
+  return Book.confirmedGapOf(state, now) * (parts - call.ReceivedParts) <
          call.Deadline - now;
 }
 
@@ -181,8 +183,8 @@
   const EngineFigures &engine = *service->Engine;
   double each = std::chrono::duration<double>(engine.StepPerRequest).count() *
                 engine.StepsPerPass;
-  double reading = engine.ReadTokensPerSecond > 0
+  double prefill = engine.ReadTokensPerSecond > 0
                        ? load.Unread / engine.ReadTokensPerSecond
                        : 0;
-  return (load.Running * each + reading) * EndpointBook::paceOf(state, now);
+  return (load.Running * each + prefill) * EndpointBook::slowdownOf(state, now);
 }
--- a/lib/Direct/EventCutter.cpp
+++ b/lib/Direct/EventCutter.cpp
@@ -19,10 +19,10 @@
 }
 
 std::string EventCutter::add(std::string_view data) {
-  Rest.append(data);
-  std::size_t n = wholeLength(Rest);
-  std::string whole = Rest.substr(0, n);
-  Rest.erase(0, n);
+  Incomplete.append(data);
+  std::size_t n = wholeLength(Incomplete);
+  std::string whole = Incomplete.substr(0, n);
+  Incomplete.erase(0, n);
   noteIds(whole);
   return whole;
 }
--- a/lib/Direct/FleetSize.cpp
+++ b/lib/Direct/FleetSize.cpp
@@ -11,14 +11,14 @@
 
 using namespace ospreyspur;
 
-void FleetSize::onHeard(const std::string &name, TimePoint now) {
+void FleetSize::onReport(const std::string &name, TimePoint now) {
   SeenAt[name] = now;
   IdleAt.erase(name);
-  if (now - PrunedAt < KeepFor)
+  if (now - PrunedAt < RetentionTime)
     return;
   PrunedAt = now;
-  std::erase_if(SeenAt,
-                [&](const auto &it) { return now - it.second >= KeepFor; });
+  std::erase_if(
+      SeenAt, [&](const auto &it) { return now - it.second >= RetentionTime; });
   std::erase_if(IdleAt, [&](const auto &it) { return !isIdle(it.first, now); });
 }
 
@@ -35,10 +35,11 @@
 }
 
 std::size_t FleetSize::count(Duration window, TimePoint now) const {
-  auto heard = std::count_if(SeenAt.begin(), SeenAt.end(), [&](const auto &it) {
-    return !Listed.contains(it.first) && isRecent(it.second, window, now);
-  });
-  return Listed.size() + static_cast<std::size_t>(heard) + 1;
+  auto unlisted =
+      std::count_if(SeenAt.begin(), SeenAt.end(), [&](const auto &it) {
+        return !Listed.contains(it.first) && isRecent(it.second, window, now);
+      });
+  return Listed.size() + static_cast<std::size_t>(unlisted) + 1;
 }
 
 std::vector<std::string> FleetSize::others(Duration window,
--- a/lib/Direct/NodeRegistry.cpp
+++ b/lib/Direct/NodeRegistry.cpp
@@ -45,28 +45,29 @@
     return std::nullopt;
   IsWriting = true;
   WriteAt = now + RenewEvery;
-  if (Row.get() > 0)
-    return KvRenew{ownKey(), Row};
-  return KvPut{ownKey(), formatNode(Self), Expected, LeaseSpan};
+  if (OwnRevision.get() > 0)
+    return KvRenew{ownKey(), OwnRevision};
+  return KvPut{ownKey(), formatNode(Self), ExpectedRevision, LeaseSpan};
 }
 
 void NodeRegistry::onWritten(const KvReply &reply, TimePoint now) {
   IsWriting = false;
   if (reply.Code == ResultCode::Ok) {
-    Row = reply.At;
-    Pause = MinPause;
+    OwnRevision = reply.At;
+    RetryDelay = MinRetryDelay;
     WriteAt = now + RenewEvery;
     return;
   }
   // Either a record of an earlier incarnation is in the way, or this process's
   // own record is gone.
-  bool isRowGone = Row.get() > 0 && reply.Code == ResultCode::NotFound;
-  if (isRowGone)
-    Row = Expected = Revision(0);
+  bool isRecordGone =
+      OwnRevision.get() > 0 && reply.Code == ResultCode::NotFound;
+  if (isRecordGone)
+    OwnRevision = ExpectedRevision = Revision(0);
   if (reply.Code == ResultCode::PlatformConflict)
-    Expected = reply.At;
-  Pause = std::min(Pause * 2, MaxPause);
-  WriteAt = now + (isRowGone ? MinPause : Pause);
+    ExpectedRevision = reply.At;
+  RetryDelay = std::min(RetryDelay * 2, MaxRetryDelay);
+  WriteAt = now + (isRecordGone ? MinRetryDelay : RetryDelay);
 }
 
 std::optional<KvCall> NodeRegistry::nextRead(TimePoint now) {
@@ -92,7 +93,7 @@
     known = {std::move(*node), now};
   }
   auto dropped = std::erase_if(Nodes, [now](const auto &it) {
-    return now - it.second.SeenAt > KeepVanished;
+    return now - it.second.SeenAt > VanishedGrace;
   });
   return hasChanged || dropped > 0;
 }
--- a/lib/Direct/RetryWindow.cpp
+++ b/lib/Direct/RetryWindow.cpp
@@ -12,15 +12,15 @@
 
 void RetryWindow::onRequest(const ServiceId &service, TimePoint now) {
   Counts &counts = Services[service];
-  forget(counts, now);
+  dropExpired(counts, now);
   counts.Requests.push_back(now);
 }
 
 bool RetryWindow::canSpend(const ServiceId &service, std::size_t entries,
                            TimePoint now) {
   Counts &counts = Services[service];
-  forget(counts, now);
-  return double(counts.Repeats.size()) + 1 <= allowed(counts, entries, now);
+  dropExpired(counts, now);
+  return double(counts.Retries.size()) + 1 <= allowed(counts, entries, now);
 }
 
 double RetryWindow::allowed(const Counts &counts, std::size_t entries,
@@ -38,21 +38,21 @@
                         TimePoint now) {
   if (!canSpend(service, entries, now))
     return false;
-  Services[service].Repeats.push_back(now);
+  Services[service].Retries.push_back(now);
   return true;
 }
 
-void RetryWindow::giveBack(const ServiceId &service) {
-  std::deque<TimePoint> &repeats = Services[service].Repeats;
-  if (!repeats.empty())
-    repeats.pop_back();
+void RetryWindow::refund(const ServiceId &service) {
+  std::deque<TimePoint> &retries = Services[service].Retries;
+  if (!retries.empty())
+    retries.pop_back();
 }
 
-void RetryWindow::forget(Counts &counts, TimePoint now) const {
+void RetryWindow::dropExpired(Counts &counts, TimePoint now) const {
   auto drop = [&](std::deque<TimePoint> &times) {
     while (!times.empty() && times.front() <= now - Bounds.Window)
       times.pop_front();
   };
   drop(counts.Requests);
-  drop(counts.Repeats);
+  drop(counts.Retries);
 }
--- a/unittests/Direct/MortalWorld.cpp
+++ b/unittests/Direct/CrashSimulation.cpp
@@ -1,12 +1,12 @@
-//===- MortalWorld.cpp - entries with endpoints that crash ----------------===//
+//===- CrashSimulation.cpp - entries with endpoints that crash ------------===//
 //
-// See MortalWorld.h.
+// See CrashSimulation.h.
 //
 //===----------------------------------------------------------------------===//
 
-#include "Direct/MortalWorld.h"
+#include "Direct/CrashSimulation.h"
 
-#include "Direct/NodeWorld.h"
+#include "Direct/NodeFixture.h"
 
 #include <algorithm>
 
@@ -22,7 +22,8 @@
 static constexpr milliseconds LeastDownTime(3500);
 static constexpr milliseconds MostDownTime(6000);
 
-MortalWorld::MortalWorld(std::uint64_t seed, MortalSizes sizes)
+CrashSimulation::CrashSimulation(std::uint64_t seed,
+                                 CrashSimulationOptions sizes)
     : Time(seed, 0), Sizes(sizes) {
   auto config = std::make_shared<FleetConfig>();
   RouteRule route = makeRoute(RequestKind::Stream, 2, true);
@@ -42,10 +43,10 @@
   Entries.resize(sizes.Entries);
   for (unsigned i = 0; i < sizes.Entries; ++i)
     startEntry(i);
-  arriveInnocent();
+  scheduleHarmlessRequest();
 }
 
-EndpointRecord MortalWorld::recordOf(unsigned i) const {
+EndpointRecord CrashSimulation::recordOf(unsigned i) const {
   EndpointRecord out;
   out.Name = "e" + std::to_string(i);
   out.Life = EndpointLife(Endpoints[i].Life);
@@ -57,23 +58,23 @@
   return out;
 }
 
-std::vector<ListedEndpoint> MortalWorld::list() const {
+std::vector<ListedEndpoint> CrashSimulation::list() const {
   std::vector<ListedEndpoint> out;
   for (unsigned i = 0; i < Endpoints.size(); ++i)
     out.push_back({recordOf(i), false});
   return out;
 }
 
-unsigned MortalWorld::indexOf(const EndpointId &id) const {
+unsigned CrashSimulation::indexOf(const EndpointId &id) const {
   return unsigned(std::stoul(id.get().substr(1, id.get().find('@') - 1)));
 }
 
-void MortalWorld::startEntry(unsigned i) {
+void CrashSimulation::startEntry(unsigned i) {
   Entry &entry = Entries[i];
   ++entry.Life;
   entry.FrozenUntil = TimePoint();
   entry.TimerAt = TimePoint();
-  entry.TroubleAt = Time.now();
+  entry.DisturbedAt = Time.now();
   entry.Node = std::make_unique<DirectNode>(DataCentreId("a"), DirectLimits(),
                                             Time.below(1U << 30U));
   entry.Node->setEndpoints(list());
@@ -82,7 +83,7 @@
   report(i, entry.Life);
 }
 
-void MortalWorld::publish() {
+void CrashSimulation::publish() {
   std::vector<ListedEndpoint> listed = list();
   for (unsigned i = 0; i < Entries.size(); ++i)
     toEntry(i, [this, listed](DirectNode &it) {
@@ -92,15 +93,15 @@
 }
 
 /// Delivers \p input to an entry after the transport delay.
-void MortalWorld::toEntry(unsigned i,
-                          std::function<DirectActions(DirectNode &)> input) {
+void CrashSimulation::toEntry(
+    unsigned i, std::function<DirectActions(DirectNode &)> input) {
   Time.at(Time.now() + between(milliseconds(1), milliseconds(3)),
           [this, i, life = Entries[i].Life, input = std::move(input)] {
             deliver(i, life, input);
           });
 }
 
-void MortalWorld::deliver(
+void CrashSimulation::deliver(
     unsigned i, unsigned life,
     const std::function<DirectActions(DirectNode &)> &input) {
   Entry &entry = Entries[i];
@@ -116,7 +117,7 @@
   setTimer(i);
 }
 
-void MortalWorld::setTimer(unsigned i) {
+void CrashSimulation::setTimer(unsigned i) {
   Entry &entry = Entries[i];
   std::optional<TimePoint> due = entry.Node->nextTimer();
   if (!due || (entry.TimerAt > Time.now() && entry.TimerAt <= *due))
@@ -128,15 +129,15 @@
   });
 }
 
-void MortalWorld::report(unsigned i, unsigned life) {
+void CrashSimulation::report(unsigned i, unsigned life) {
   Entry &entry = Entries[i];
   if (entry.Life != life || !entry.Node)
     return;
   Time.at(Time.now() + milliseconds(50), [this, i, life] { report(i, life); });
-  tell(i, life);
+  sendReport(i, life);
 }
 
-void MortalWorld::tell(unsigned i, unsigned life) {
+void CrashSimulation::sendReport(unsigned i, unsigned life) {
   Entry &entry = Entries[i];
   if (entry.Life != life || !entry.Node || Time.now() < entry.FrozenUntil)
     return;
@@ -154,34 +155,36 @@
   }
 }
 
-void MortalWorld::arriveInnocent() {
-  auto pause = Duration(std::int64_t(1e6 / Sizes.InnocentPerSecond));
+void CrashSimulation::scheduleHarmlessRequest() {
+  auto pause = Duration(std::int64_t(1e6 / Sizes.HarmlessPerSecond));
   Time.at(Time.now() + between(Duration(0), 2 * pause), [this] {
-    call({RequestDigest(++LastInnocent), 0});
-    arriveInnocent();
+    call({RequestDigest(++LastHarmless), 0});
+    scheduleHarmlessRequest();
   });
 }
 
-void MortalWorld::addKiller(RequestDigest request, Duration meanPause) {
-  Killers.insert(request);
-  arriveKiller(request, meanPause);
+void CrashSimulation::addDeadlyRequest(RequestDigest request,
+                                       Duration meanPause) {
+  DeadlyRequests.insert(request);
+  scheduleDeadlyRequest(request, meanPause);
 }
 
-void MortalWorld::arriveKiller(RequestDigest request, Duration meanPause) {
+void CrashSimulation::scheduleDeadlyRequest(RequestDigest request,
+                                            Duration meanPause) {
   Time.at(Time.now() + between(Duration(0), 2 * meanPause),
           [this, request, meanPause] {
             call({request, 0});
-            arriveKiller(request, meanPause);
+            scheduleDeadlyRequest(request, meanPause);
           });
 }
 
-void MortalWorld::addWave(unsigned n, Duration span) {
+void CrashSimulation::addCrashWave(unsigned n, Duration span) {
   for (unsigned i = 0; i < n; ++i)
     Time.at(Time.now() + between(Duration(0), span),
-            [this] { end(unsigned(Time.below(Endpoints.size()))); });
+            [this] { crash(unsigned(Time.below(Endpoints.size()))); });
 }
 
-void MortalWorld::call(Caller caller) {
+void CrashSimulation::call(Caller caller) {
   auto i = unsigned(Time.below(Entries.size()));
   CallId id(++LastCall);
   ++caller.Tries;
@@ -199,29 +202,29 @@
 }
 
 /// Callers try once more, but for what they are told is of no use.
-void MortalWorld::onTold(CallId id, ResultCode code) {
+void CrashSimulation::onTold(CallId id, ResultCode code) {
   auto it = Callers.find(id);
   if (it == Callers.end())
     return;
   Caller caller = it->second;
   Callers.erase(it);
-  ++(isKiller(caller.Request) ? KillerTold : InnocentTold)[code];
+  ++(isDeadly(caller.Request) ? DeadlyResults : HarmlessResults)[code];
   if (caller.Tries < 2)
     Time.at(Time.now() + milliseconds(200), [this, caller] { call(caller); });
 }
 
-void MortalWorld::perform(unsigned i, const StartAttempt &it) {
+void CrashSimulation::perform(unsigned i, const StartAttempt &it) {
   Run run{i, Entries[i].Life, it.Call, Callers[it.Call].Request, false};
   // A change is reported after the delay that batches changes.
   Time.at(Time.now() + milliseconds(8),
-          [this, i, life = run.EntryLife] { tell(i, life); });
+          [this, i, life = run.EntryLife] { sendReport(i, life); });
   Time.at(
       Time.now() + between(milliseconds(1), milliseconds(3)),
       [this, run, id = it.Endpoint.Id] { onArrival(indexOf(id), run, id); });
 }
 
-void MortalWorld::onArrival(unsigned endpoint, const Run &run,
-                            const EndpointId &meant) {
+void CrashSimulation::onArrival(unsigned endpoint, const Run &run,
+                                const EndpointId &meant) {
   Endpoint &it = Endpoints[endpoint];
   if (!it.IsUp) {
     endRun(run, AttemptEnd::NeverSent, ConnectionEnd::Ours);
@@ -231,7 +234,7 @@
     endRun(run, AttemptEnd::OtherEndpoint, ConnectionEnd::Ours);
     return;
   }
-  if (Time.now() - Entries[run.Entry].TroubleAt >= ContactTime)
+  if (Time.now() - Entries[run.Entry].DisturbedAt >= ContactTime)
     Arrivals[run.Request].push_back(Time.now());
   if (Time.now() < OpenAt[it.Group] || it.Runs.size() >= Slots) {
     endRun(run, AttemptEnd::Full, ConnectionEnd::Ours);
@@ -241,15 +244,15 @@
   it.Runs[number] = run;
   unsigned life = it.Life;
   Duration queued = between(milliseconds(30), milliseconds(250));
-  if (isKiller(run.Request)) {
+  if (isDeadly(run.Request)) {
     Duration ran = queued + between(milliseconds(20), milliseconds(90));
     Time.at(Time.now() + ran, [this, endpoint, number, life] {
       Endpoint &there = Endpoints[endpoint];
       auto found = there.Runs.find(number);
       if (there.Life != life || found == there.Runs.end())
         return;
-      Deaths[found->second.Request].push_back(Time.now());
-      end(endpoint);
+      CrashTimes[found->second.Request].push_back(Time.now());
+      crash(endpoint);
     });
     return;
   }
@@ -270,7 +273,8 @@
           [this, endpoint, number, life] { finish(endpoint, number, life); });
 }
 
-void MortalWorld::finish(unsigned endpoint, std::uint64_t run, unsigned life) {
+void CrashSimulation::finish(unsigned endpoint, std::uint64_t run,
+                             unsigned life) {
   Endpoint &it = Endpoints[endpoint];
   auto found = it.Runs.find(run);
   // Stalled requests are cut by stall().
@@ -279,12 +283,12 @@
     return;
   Run done = found->second;
   it.Runs.erase(found);
-  InnocentServed += Callers.erase(done.Call);
+  HarmlessCompleted += Callers.erase(done.Call);
   endRun(done, AttemptEnd::Complete, ConnectionEnd::Ours);
 }
 
-void MortalWorld::endRun(const Run &run, AttemptEnd end,
-                         ConnectionEnd connection) {
+void CrashSimulation::endRun(const Run &run, AttemptEnd end,
+                             ConnectionEnd connection) {
   if (Entries[run.Entry].Life != run.EntryLife)
     return;
   toEntry(run.Entry, [this, run, end, connection](DirectNode &it) {
@@ -294,7 +298,7 @@
 
 /// Crashes the process at \p endpoint with all its running requests. The group
 /// of \p endpoint stalls, and is formed again when the endpoint is back.
-void MortalWorld::end(unsigned endpoint) {
+void CrashSimulation::crash(unsigned endpoint) {
   Endpoint &it = Endpoints[endpoint];
   if (!it.IsUp)
     return;
@@ -313,7 +317,7 @@
   });
 }
 
-void MortalWorld::stall(unsigned group) {
+void CrashSimulation::stall(unsigned group) {
   for (Endpoint &it : Endpoints) {
     if (it.Group != group)
       continue;
@@ -323,18 +327,18 @@
   }
 }
 
-void MortalWorld::perform(unsigned /*i*/, const EndCall &it) {
+void CrashSimulation::perform(unsigned /*i*/, const EndCall &it) {
   onTold(it.Call, it.Code);
 }
 
-void MortalWorld::perform(unsigned i, const PassOnAnswer &it) {
+void CrashSimulation::perform(unsigned i, const PassOnAnswer &it) {
   onTold(it.Call, ResultCode::EndpointFailed);
   toEntry(i, [this, id = it.Call](DirectNode &node) {
     return node.onCallGone(id, Time.now());
   });
 }
 
-void MortalWorld::perform(unsigned i, const AskEndpoint &it) {
+void CrashSimulation::perform(unsigned i, const AskEndpoint &it) {
   Endpoint &there = Endpoints[indexOf(it.Endpoint.Id)];
   std::optional<EndpointCondition> condition;
   if (there.IsUp && recordOf(indexOf(it.Endpoint.Id)).Id == it.Endpoint.Id)
@@ -346,7 +350,7 @@
   });
 }
 
-void MortalWorld::perform(unsigned i, const CheckEndpoint &it) {
+void CrashSimulation::perform(unsigned i, const CheckEndpoint &it) {
   unsigned index = indexOf(it.Endpoint.Id);
   bool isAlive = Endpoints[index].IsUp && recordOf(index).Id == it.Endpoint.Id;
   EndpointFate fate = isAlive ? EndpointFate::Alive : EndpointFate::Ended;
@@ -355,7 +359,7 @@
   });
 }
 
-void MortalWorld::perform(unsigned i, const StopAttempt &it) {
+void CrashSimulation::perform(unsigned i, const StopAttempt &it) {
   for (Endpoint &endpoint : Endpoints)
     for (auto run = endpoint.Runs.begin(); run != endpoint.Runs.end(); ++run) {
       bool isIt = run->second.Call == it.Call && run->second.Entry == i &&
@@ -371,7 +375,7 @@
     }
 }
 
-void MortalWorld::killEntry(unsigned i) {
+void CrashSimulation::killEntry(unsigned i) {
   Entry &entry = Entries[i];
   ++entry.Life;
   entry.Node.reset();
@@ -384,15 +388,15 @@
   });
 }
 
-void MortalWorld::freezeEntry(unsigned i, Duration span) {
+void CrashSimulation::freezeEntry(unsigned i, Duration span) {
   Entries[i].FrozenUntil = Time.now() + span;
-  Entries[i].TroubleAt = Time.now() + span;
+  Entries[i].DisturbedAt = Time.now() + span;
 }
 
-std::size_t MortalWorld::mostInnocentArrivals() const {
+std::size_t CrashSimulation::maxHarmlessArrivals() const {
   std::size_t most = 0;
   for (const auto &[request, times] : Arrivals)
-    if (!isKiller(request))
+    if (!isDeadly(request))
       most = std::max(most, times.size());
   return most;
 }
--- a/unittests/Direct/MortalWorld.h
+++ b/unittests/Direct/CrashSimulation.h
@@ -1,4 +1,4 @@
-//===- MortalWorld.h - entries with endpoints that crash --------*- C++ -*-===//
+//===- CrashSimulation.h - entries with endpoints that crash ----*- C++ -*-===//
 //
 // Complete DirectNodes on virtual time with groups of endpoints. Each endpoint
 // crashes when it runs a deadly request, or by itself. Reports between entries
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_DIRECT_MORTALWORLD_H
-#define OSPREYSPUR_UNITTESTS_DIRECT_MORTALWORLD_H
+#ifndef OSPREYSPUR_UNITTESTS_DIRECT_CRASHSIMULATION_H
+#define OSPREYSPUR_UNITTESTS_DIRECT_CRASHSIMULATION_H
 
 #include "ospreyspur/Direct/DirectNode.h"
 
@@ -24,25 +24,25 @@
 
 using namespace ospreyspur;
 
-/// Parameters of a MortalWorld.
-struct MortalSizes {
+/// Parameters of a CrashSimulation.
+struct CrashSimulationOptions {
   unsigned Entries = 4;
   unsigned Groups = 2;
   unsigned Ranks = 8;
   /// Reports between entries that are lost, out of 100.
   unsigned LostReports = 5;
-  double InnocentPerSecond = 50;
+  double HarmlessPerSecond = 50;
 };
 
-class MortalWorld {
+class CrashSimulation {
 public:
-  MortalWorld(std::uint64_t seed, MortalSizes sizes);
+  CrashSimulation(std::uint64_t seed, CrashSimulationOptions sizes);
 
   /// From now on \p request arrives repeatedly and crashes every endpoint that
   /// runs it.
-  void addKiller(RequestDigest request, Duration meanPause);
+  void addDeadlyRequest(RequestDigest request, Duration meanPause);
   /// Lets \p n endpoints crash by themselves within \p span.
-  void addWave(unsigned n, Duration span);
+  void addCrashWave(unsigned n, Duration span);
   void killEntry(unsigned i);
   void freezeEntry(unsigned i, Duration span);
   /// Entries receive no reports from each other for \p span.
@@ -50,8 +50,8 @@
   void run(Duration span) { Time.runUntil(Time.now() + span); }
 
   /// Returns the times at which endpoints crashed while running \p request.
-  const std::vector<TimePoint> &deaths(RequestDigest request) {
-    return Deaths[request];
+  const std::vector<TimePoint> &crashTimes(RequestDigest request) {
+    return CrashTimes[request];
   }
   /// Returns the times at which \p request reached an endpoint, sent by an
   /// entry that had been running for at least ContactTime.
@@ -59,13 +59,13 @@
     return Arrivals[request];
   }
   /// Returns how often callers of harmless requests received \p code.
-  unsigned innocentTold(ResultCode code) { return InnocentTold[code]; }
-  unsigned innocentServed() const { return InnocentServed; }
+  unsigned harmlessResults(ResultCode code) { return HarmlessResults[code]; }
+  unsigned harmlessCompleted() const { return HarmlessCompleted; }
   /// Returns the largest number of arrivals of one harmless request.
-  std::size_t mostInnocentArrivals() const;
+  std::size_t maxHarmlessArrivals() const;
   /// Time between a killer's arrival at an entry and its final answer, at most,
   /// after it was quarantined there.
-  unsigned killerTold(ResultCode code) { return KillerTold[code]; }
+  unsigned deadlyResults(ResultCode code) { return DeadlyResults[code]; }
   ospreyspur::test::RandomScheduler &time() { return Time; }
   const DirectNode &node(unsigned i) const { return *Entries[i].Node; }
 
@@ -76,7 +76,7 @@
     TimePoint FrozenUntil;
     TimePoint TimerAt;
     /// When the entry was last started or resumed.
-    TimePoint TroubleAt;
+    TimePoint DisturbedAt;
   };
   struct Run {
     unsigned Entry = 0;
@@ -99,7 +99,7 @@
   static constexpr unsigned Slots = 12;
   static constexpr Duration ContactTime = std::chrono::seconds(3);
 
-  bool isKiller(RequestDigest it) const { return Killers.contains(it); }
+  bool isDeadly(RequestDigest it) const { return DeadlyRequests.contains(it); }
   EndpointRecord recordOf(unsigned i) const;
   std::vector<ListedEndpoint> list() const;
   void publish();
@@ -109,9 +109,9 @@
                const std::function<DirectActions(DirectNode &)> &input);
   void setTimer(unsigned i);
   void report(unsigned i, unsigned life);
-  void tell(unsigned i, unsigned life);
-  void arriveInnocent();
-  void arriveKiller(RequestDigest request, Duration meanPause);
+  void sendReport(unsigned i, unsigned life);
+  void scheduleHarmlessRequest();
+  void scheduleDeadlyRequest(RequestDigest request, Duration meanPause);
   void call(Caller caller);
   void onTold(CallId id, ResultCode code);
   void perform(unsigned i, const StartAttempt &it);
@@ -122,7 +122,7 @@
   void perform(unsigned i, const StopAttempt &it);
   void onArrival(unsigned endpoint, const Run &run, const EndpointId &meant);
   void finish(unsigned endpoint, std::uint64_t run, unsigned life);
-  void end(unsigned endpoint);
+  void crash(unsigned endpoint);
   void stall(unsigned group);
   void endRun(const Run &run, AttemptEnd end, ConnectionEnd connection);
   unsigned indexOf(const EndpointId &id) const;
@@ -131,25 +131,25 @@
   }
 
   ospreyspur::test::RandomScheduler Time;
-  MortalSizes Sizes;
+  CrashSimulationOptions Sizes;
   std::shared_ptr<const FleetConfig> Config;
   std::vector<Entry> Entries;
   std::vector<Endpoint> Endpoints;
   /// When each group accepts requests again.
   std::vector<TimePoint> OpenAt;
-  std::set<RequestDigest> Killers;
+  std::set<RequestDigest> DeadlyRequests;
   std::map<CallId, Caller> Callers;
-  std::map<RequestDigest, std::vector<TimePoint>> Deaths;
+  std::map<RequestDigest, std::vector<TimePoint>> CrashTimes;
   std::map<RequestDigest, std::vector<TimePoint>> Arrivals;
-  std::map<ResultCode, unsigned> InnocentTold;
-  std::map<ResultCode, unsigned> KillerTold;
-  unsigned InnocentServed = 0;
+  std::map<ResultCode, unsigned> HarmlessResults;
+  std::map<ResultCode, unsigned> DeadlyResults;
+  unsigned HarmlessCompleted = 0;
   TimePoint ReportsCutUntil;
   std::uint64_t LastCall = 0;
-  std::uint64_t LastInnocent = 1000000;
+  std::uint64_t LastHarmless = 1000000;
   std::uint64_t LastRun = 0;
 };
 
 } // namespace test
 
-#endif // OSPREYSPUR_UNITTESTS_DIRECT_MORTALWORLD_H
+#endif // OSPREYSPUR_UNITTESTS_DIRECT_CRASHSIMULATION_H
--- a/unittests/Direct/EndedGroupTest.cpp
+++ b/unittests/Direct/CrashedGroupTest.cpp
@@ -1,19 +1,19 @@
-//===- EndedGroupTest.cpp - groups with a crashed endpoint ----------------===//
+//===- CrashedGroupTest.cpp - groups with a crashed endpoint --------------===//
 //
 // All ranks of a group stall when one of them crashes. No more requests may be
 // sent there, and running streams must be migrated at once.
 //
 //===----------------------------------------------------------------------===//
 
-#include "Direct/TwoGroupWorld.h"
+#include "Direct/TwoGroupFixture.h"
 
 using namespace test;
 
 namespace {
 /// Two streams with digests, one in each group.
-class EndedWorld : public TwoGroupWorld {
+class CrashedGroupFixture : public TwoGroupFixture {
 public:
-  EndedWorld() {
+  CrashedGroupFixture() {
     for (std::uint64_t id : {1, 2}) {
       Groups.push_back(startAt(id));
       Node.onFirstByte(CallId(id), Now);
@@ -50,66 +50,66 @@
 } // namespace
 
 TEST_CASE("no requests are sent to a group with a crashed endpoint") {
-  EndedWorld world;
-  world.endFirst();
+  CrashedGroupFixture fixture;
+  fixture.endFirst();
   for (std::uint64_t id = 10; id < 16; ++id)
-    CHECK(world.startAt(id) != world.Groups[0]);
+    CHECK(fixture.startAt(id) != fixture.Groups[0]);
 }
 
 TEST_CASE("streams of a group with a crashed endpoint are migrated") {
-  EndedWorld world;
+  CrashedGroupFixture fixture;
   // A third stream at the other endpoint of the first one's group.
-  std::uint64_t beside = 0;
-  for (std::uint64_t id = 3; id < 9 && beside == 0; ++id) {
-    bool isThere = world.startAt(id) == world.Groups[0] &&
-                   world.Endpoints[id] != world.Endpoints[1];
-    beside = isThere ? id : 0;
+  std::uint64_t neighbor = 0;
+  for (std::uint64_t id = 3; id < 9 && neighbor == 0; ++id) {
+    bool isThere = fixture.startAt(id) == fixture.Groups[0] &&
+                   fixture.Endpoints[id] != fixture.Endpoints[1];
+    neighbor = isThere ? id : 0;
   }
-  REQUIRE(beside != 0);
-  world.Node.onFirstByte(CallId(beside), world.Now);
-  DirectActions actions = world.endFirst();
+  REQUIRE(neighbor != 0);
+  fixture.Node.onFirstByte(CallId(neighbor), fixture.Now);
+  DirectActions actions = fixture.endFirst();
   bool isMoved = false;
   for (const DirectAction &it : actions)
     if (const auto *stop = std::get_if<StopAttempt>(&it))
-      isMoved = isMoved || stop->Call == CallId(beside);
+      isMoved = isMoved || stop->Call == CallId(neighbor);
   CHECK(isMoved);
 }
 
 TEST_CASE("an endpoint that cut one response without crashing stays in use "
           "with its group") {
-  EndedWorld world;
-  world.Node.onAttemptEnded(CallId(1), AttemptEnd::BrokeOff, world.Now,
-                            ConnectionEnd::Endpoint);
-  DirectActions actions =
-      world.Node.onChecked(world.Endpoints[1], EndpointFate::Alive, world.Now);
+  CrashedGroupFixture fixture;
+  fixture.Node.onAttemptEnded(CallId(1), AttemptEnd::BrokeOff, fixture.Now,
+                              ConnectionEnd::Endpoint);
+  DirectActions actions = fixture.Node.onChecked(
+      fixture.Endpoints[1], EndpointFate::Alive, fixture.Now);
   CHECK(find<StartAttempt>(actions));
   bool isUsed = false;
   for (std::uint64_t id = 10; id < 16; ++id)
-    isUsed = world.startAt(id) == world.Groups[0] || isUsed;
+    isUsed = fixture.startAt(id) == fixture.Groups[0] || isUsed;
   CHECK(isUsed);
 }
 
 TEST_CASE("a crash that another entry reports closes the group") {
-  EndedWorld world;
+  CrashedGroupFixture fixture;
   CrashRow row;
   row.Request = RequestDigest(99);
-  row.Crashes.push_back({digestLife(world.Endpoints[1]),
+  row.Crashes.push_back({digestLife(fixture.Endpoints[1]),
                          std::chrono::milliseconds(10),
                          std::chrono::milliseconds(100)});
-  world.Node.onCrashReport("other", {{row}, {}}, world.Now);
+  fixture.Node.onCrashReport("other", {{row}, {}}, fixture.Now);
   for (std::uint64_t id = 10; id < 16; ++id)
-    CHECK(world.startAt(id) != world.Groups[0]);
+    CHECK(fixture.startAt(id) != fixture.Groups[0]);
 }
 
 TEST_CASE("a request that was cut after its wait limit is retried once its "
           "endpoint's fate is known") {
-  EndedWorld world;
-  world.startAt(5);
-  world.Now += std::chrono::seconds(3);
-  DirectActions cut = world.Node.onAttemptEnded(
-      CallId(5), AttemptEnd::Lost, world.Now, ConnectionEnd::Endpoint);
+  CrashedGroupFixture fixture;
+  fixture.startAt(5);
+  fixture.Now += std::chrono::seconds(3);
+  DirectActions cut = fixture.Node.onAttemptEnded(
+      CallId(5), AttemptEnd::Lost, fixture.Now, ConnectionEnd::Endpoint);
   CHECK_FALSE(find<EndCall>(cut));
-  DirectActions known =
-      world.Node.onChecked(world.Endpoints[5], EndpointFate::Alive, world.Now);
+  DirectActions known = fixture.Node.onChecked(
+      fixture.Endpoints[5], EndpointFate::Alive, fixture.Now);
   CHECK(find<StartAttempt>(known));
 }
--- a/unittests/Direct/DirectNodeTest.cpp
+++ b/unittests/Direct/DirectNodeTest.cpp
@@ -5,7 +5,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "Direct/NodeWorld.h"
+#include "Direct/NodeFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -16,25 +16,25 @@
 
 TEST_CASE("a lost attempt of a request that runs at most once has an unknown "
           "outcome and is not retried") {
-  NodeWorld world(3, makeRoute(RequestKind::OnceOnly, 3));
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  DirectActions after = world.end(1, AttemptEnd::Lost);
+  NodeFixture fixture(3, makeRoute(RequestKind::OnceOnly, 3));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  DirectActions after = fixture.end(1, AttemptEnd::Lost);
   CHECK(codeOf(after) == ResultCode::ContactLost);
   CHECK((describe(codeOf(after)).Kind == Outcome::Unknown));
 }
 
 TEST_CASE("the allowed silent period grows with the time to first byte of the "
           "service") {
-  NodeWorld world(3, makeRoute(RequestKind::Repeatable, 2, true));
+  NodeFixture fixture(3, makeRoute(RequestKind::Repeatable, 2, true));
   auto silenceOf = [&](std::uint64_t id) {
-    DirectActions actions = world.call(id);
+    DirectActions actions = fixture.call(id);
     REQUIRE(only<StartAttempt>(actions));
     return only<StartAttempt>(actions)->Silence;
   };
   auto answerAfter = [&](std::uint64_t id, Duration time) {
-    world.Now += time;
-    world.Node.onFirstByte(CallId(id), world.Now);
-    world.end(id, AttemptEnd::Complete);
+    fixture.Now += time;
+    fixture.Node.onFirstByte(CallId(id), fixture.Now);
+    fixture.end(id, AttemptEnd::Complete);
   };
   DirectLimits limits;
   // No endpoint has responded yet, as the service may just be starting.
@@ -51,15 +51,15 @@
 
 TEST_CASE("a request that a full endpoint rejected goes to others until its "
           "attempts are used up") {
-  NodeWorld world(3, makeRoute(RequestKind::OnceOnly, 2));
-  world.prove(3);
-  const auto first = world.call(1);
+  NodeFixture fixture(3, makeRoute(RequestKind::OnceOnly, 2));
+  fixture.proveServing(3);
+  const auto first = fixture.call(1);
   REQUIRE(only<StartAttempt>(first));
-  DirectActions second = world.end(1, AttemptEnd::Full);
+  DirectActions second = fixture.end(1, AttemptEnd::Full);
   REQUIRE(only<StartAttempt>(second));
   CHECK(only<StartAttempt>(second)->Endpoint.Id !=
         only<StartAttempt>(first)->Endpoint.Id);
-  DirectActions last = world.end(1, AttemptEnd::Full);
+  DirectActions last = fixture.end(1, AttemptEnd::Full);
   REQUIRE(only<EndCall>(last));
   CHECK((describe(codeOf(last)).Kind == Outcome::NotRun));
   CHECK(only<EndCall>(last)->RetryAfter > Duration::zero());
@@ -67,62 +67,62 @@
 
 TEST_CASE(
     "a stream with an attempt of unknown outcome is not reported as not run") {
-  NodeWorld world(3, makeRoute(RequestKind::Stream, 2, true));
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::BrokeOff)));
-  DirectActions last = world.end(1, AttemptEnd::Full);
+  NodeFixture fixture(3, makeRoute(RequestKind::Stream, 2, true));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::BrokeOff)));
+  DirectActions last = fixture.end(1, AttemptEnd::Full);
   CHECK((describe(codeOf(last)).Kind != Outcome::NotRun));
 }
 
 TEST_CASE(
     "a resumable stream that was lost before its first event is sent again") {
-  NodeWorld world(3, makeRoute(RequestKind::Stream, 2, true));
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  CHECK(only<StartAttempt>(world.end(1, AttemptEnd::Lost)));
+  NodeFixture fixture(3, makeRoute(RequestKind::Stream, 2, true));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  CHECK(only<StartAttempt>(fixture.end(1, AttemptEnd::Lost)));
 }
 
 TEST_CASE(
     "a repeatable request with a lost attempt is not reported as not run") {
-  NodeWorld world(3, makeRoute(RequestKind::Repeatable, 2));
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::Lost)));
-  DirectActions last = world.end(1, AttemptEnd::Full);
+  NodeFixture fixture(3, makeRoute(RequestKind::Repeatable, 2));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::Lost)));
+  DirectActions last = fixture.end(1, AttemptEnd::Full);
   CHECK((describe(codeOf(last)).Kind == Outcome::Unknown));
 }
 
 TEST_CASE("a failed connection does not count as an attempt") {
-  NodeWorld world(3, makeRoute(RequestKind::OnceOnly, 1));
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  CHECK(only<StartAttempt>(world.end(1, AttemptEnd::NeverSent)));
+  NodeFixture fixture(3, makeRoute(RequestKind::OnceOnly, 1));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  CHECK(only<StartAttempt>(fixture.end(1, AttemptEnd::NeverSent)));
 }
 
 TEST_CASE("a replaced endpoint does not count as an attempt, but the number of "
           "sends is limited") {
-  NodeWorld world(6, makeRoute(RequestKind::OnceOnly, 1));
-  REQUIRE(only<StartAttempt>(world.call(1)));
+  NodeFixture fixture(6, makeRoute(RequestKind::OnceOnly, 1));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
   for (int i = 0; i < 3; ++i)
-    REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::OtherEndpoint)));
-  DirectActions last = world.end(1, AttemptEnd::OtherEndpoint);
+    REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::OtherEndpoint)));
+  DirectActions last = fixture.end(1, AttemptEnd::OtherEndpoint);
   CHECK((describe(codeOf(last)).Kind == Outcome::NotRun));
 }
 
 TEST_CASE("a request that only found full endpoints waits for one") {
-  NodeWorld world(2, makeRoute(RequestKind::OnceOnly, 3));
-  world.prove(2);
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::Full)));
-  CHECK(world.end(1, AttemptEnd::Full).empty());
-  CHECK(world.Node.waitingCount() == 1);
+  NodeFixture fixture(2, makeRoute(RequestKind::OnceOnly, 3));
+  fixture.proveServing(2);
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::Full)));
+  CHECK(fixture.end(1, AttemptEnd::Full).empty());
+  CHECK(fixture.Node.waitingCount() == 1);
 }
 
 TEST_CASE("a rejected request waits until an endpoint is known to serve") {
-  NodeWorld world(3, makeRoute(RequestKind::OnceOnly, 2));
-  DirectActions first = world.call(1);
+  NodeFixture fixture(3, makeRoute(RequestKind::OnceOnly, 2));
+  DirectActions first = fixture.call(1);
   REQUIRE(only<StartAttempt>(first));
-  CHECK(world.end(1, AttemptEnd::Full).empty());
-  DirectActions other = world.call(2);
+  CHECK(fixture.end(1, AttemptEnd::Full).empty());
+  DirectActions other = fixture.call(2);
   REQUIRE(only<StartAttempt>(other));
-  DirectActions proven = world.Node.onFirstByte(CallId(2), world.Now);
+  DirectActions proven = fixture.Node.onFirstByte(CallId(2), fixture.Now);
   REQUIRE(only<StartAttempt>(proven));
   CHECK(only<StartAttempt>(proven)->Call == CallId(1));
   CHECK(only<StartAttempt>(proven)->Endpoint.Id ==
@@ -130,88 +130,88 @@
 }
 
 TEST_CASE("a stream that cannot be resumed ends when it breaks off") {
-  NodeWorld world(3, makeRoute(RequestKind::Stream, 3));
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  CHECK(codeOf(world.end(1, AttemptEnd::BrokeOff)) ==
+  NodeFixture fixture(3, makeRoute(RequestKind::Stream, 3));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  CHECK(codeOf(fixture.end(1, AttemptEnd::BrokeOff)) ==
         ResultCode::EndpointFailed);
 }
 
 TEST_CASE("a stream that broke off waits for capacity") {
-  NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
-  std::uint64_t onOther = breakOffWithoutRoom(world);
-  world.Now += milliseconds(300);
-  DirectActions freed = world.end(onOther, AttemptEnd::Complete);
+  NodeFixture fixture(2, makeRoute(RequestKind::Stream, 2, true));
+  std::uint64_t onOther = breakOffWithoutCapacity(fixture);
+  fixture.Now += milliseconds(300);
+  DirectActions freed = fixture.end(onOther, AttemptEnd::Complete);
   REQUIRE(only<StartAttempt>(freed));
   CHECK(only<StartAttempt>(freed)->Call == CallId(1));
 }
 
 TEST_CASE(
     "a stream that broke off ends at its deadline if there is no capacity") {
-  NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
-  TimePoint deadline = world.Now + seconds(8);
-  breakOffWithoutRoom(world);
-  REQUIRE(world.Node.nextTimer());
-  CHECK(*world.Node.nextTimer() == deadline);
-  world.Now = deadline - milliseconds(1);
-  CHECK(world.Node.onTimer(world.Now).empty());
-  world.Now = deadline;
-  DirectActions late = world.Node.onTimer(world.Now);
+  NodeFixture fixture(2, makeRoute(RequestKind::Stream, 2, true));
+  TimePoint deadline = fixture.Now + seconds(8);
+  breakOffWithoutCapacity(fixture);
+  REQUIRE(fixture.Node.nextTimer());
+  CHECK(*fixture.Node.nextTimer() == deadline);
+  fixture.Now = deadline - milliseconds(1);
+  CHECK(fixture.Node.onTimer(fixture.Now).empty());
+  fixture.Now = deadline;
+  DirectActions late = fixture.Node.onTimer(fixture.Now);
   REQUIRE(only<EndCall>(late));
   CHECK((describe(codeOf(late)).Kind == Outcome::Unknown));
 }
 
 TEST_CASE("requests wait for capacity and are refused as not run when there is "
           "none in time") {
-  NodeWorld world(1, makeRoute(RequestKind::Stream, 1));
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  REQUIRE(only<StartAttempt>(world.call(2)));
-  CHECK(world.call(3).empty());
-  CHECK(world.call(4).empty());
-  DirectActions freed = world.end(1, AttemptEnd::Complete);
+  NodeFixture fixture(1, makeRoute(RequestKind::Stream, 1));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  REQUIRE(only<StartAttempt>(fixture.call(2)));
+  CHECK(fixture.call(3).empty());
+  CHECK(fixture.call(4).empty());
+  DirectActions freed = fixture.end(1, AttemptEnd::Complete);
   REQUIRE(only<StartAttempt>(freed));
   CHECK(only<StartAttempt>(freed)->Call == CallId(3));
-  REQUIRE(world.Node.nextTimer());
-  world.Now = *world.Node.nextTimer();
-  DirectActions late = world.Node.onTimer(world.Now);
+  REQUIRE(fixture.Node.nextTimer());
+  fixture.Now = *fixture.Node.nextTimer();
+  DirectActions late = fixture.Node.onTimer(fixture.Now);
   REQUIRE(only<EndCall>(late));
   CHECK((describe(codeOf(late)).Kind == Outcome::NotRun));
-  CHECK(world.Node.waitingCount() == 0);
+  CHECK(fixture.Node.waitingCount() == 0);
 }
 
 TEST_CASE("calls that can be within their latency target go before those that "
           "cannot") {
-  NodeWorld world(1, makeRoute(RequestKind::Stream, 1));
-  world.call(1);
-  world.call(2);
-  world.call(3);
-  world.Now += milliseconds(300);
-  world.call(4);
-  DirectActions freed = world.end(1, AttemptEnd::Complete);
+  NodeFixture fixture(1, makeRoute(RequestKind::Stream, 1));
+  fixture.call(1);
+  fixture.call(2);
+  fixture.call(3);
+  fixture.Now += milliseconds(300);
+  fixture.call(4);
+  DirectActions freed = fixture.end(1, AttemptEnd::Complete);
   REQUIRE(only<StartAttempt>(freed));
   CHECK(only<StartAttempt>(freed)->Call == CallId(4));
 }
 
 TEST_CASE(
     "draining and vanished endpoints are not chosen while there are others") {
-  NodeWorld world(3, makeRoute(RequestKind::Repeatable, 1));
-  world.Listed[0].Record.IsLeaving = true;
-  world.Listed[1].IsMissing = true;
-  world.Node.setEndpoints(world.Listed);
+  NodeFixture fixture(3, makeRoute(RequestKind::Repeatable, 1));
+  fixture.Listed[0].Record.IsLeaving = true;
+  fixture.Listed[1].IsMissing = true;
+  fixture.Node.setEndpoints(fixture.Listed);
   for (std::uint64_t id = 1; id <= 2; ++id) {
-    DirectActions actions = world.call(id);
+    DirectActions actions = fixture.call(id);
     REQUIRE(only<StartAttempt>(actions));
     CHECK(only<StartAttempt>(actions)->Endpoint.Id == EndpointId("e2"));
   }
 }
 
 TEST_CASE("requests of other entries count toward an endpoint's load") {
-  NodeWorld world(2, makeRoute(RequestKind::Stream, 1));
-  world.Node.setPeerLoad("other", {{EndpointId("e0"), 1, 500}}, world.Now);
-  DirectActions actions = world.call(1);
+  NodeFixture fixture(2, makeRoute(RequestKind::Stream, 1));
+  fixture.Node.setPeerLoad("other", {{EndpointId("e0"), 1, 500}}, fixture.Now);
+  DirectActions actions = fixture.call(1);
   REQUIRE(only<StartAttempt>(actions));
   CHECK(only<StartAttempt>(actions)->Endpoint.Id == EndpointId("e1"));
-  world.Now += seconds(5);
-  CHECK(world.Node.book().livePeers(world.Now) == 0);
+  fixture.Now += seconds(5);
+  CHECK(fixture.Node.book().livePeers(fixture.Now) == 0);
 }
 
 TEST_CASE("retries stay within the entry's share of the budget") {
@@ -231,17 +231,17 @@
 }
 
 TEST_CASE("an endpoint that fails all its requests does not attract load") {
-  NodeWorld world(2, makeRoute(RequestKind::OnceOnly, 1));
+  NodeFixture fixture(2, makeRoute(RequestKind::OnceOnly, 1));
   unsigned failed = 0;
   for (std::uint64_t id = 1; id <= 100; ++id) {
-    DirectActions actions = world.call(id);
+    DirectActions actions = fixture.call(id);
     REQUIRE(only<StartAttempt>(actions));
     bool isFailing =
         only<StartAttempt>(actions)->Endpoint.Id == EndpointId("e0");
     failed += isFailing ? 1 : 0;
-    world.Now += milliseconds(10);
-    world.end(id, isFailing ? AttemptEnd::Failed : AttemptEnd::Complete);
-    world.Node.onCallGone(CallId(id), world.Now);
+    fixture.Now += milliseconds(10);
+    fixture.end(id, isFailing ? AttemptEnd::Failed : AttemptEnd::Complete);
+    fixture.Node.onCallGone(CallId(id), fixture.Now);
   }
   // It is tried again occasionally, as it may have recovered.
   CHECK(failed >= 2);
@@ -249,17 +249,18 @@
 }
 
 TEST_CASE("one failed response does not make an endpoint suspect") {
-  NodeWorld world(1, makeRoute(RequestKind::OnceOnly, 1));
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  world.end(1, AttemptEnd::Failed);
-  CHECK(world.Node.book().find(EndpointId("e0"))->SuspectUntil <= world.Now);
+  NodeFixture fixture(1, makeRoute(RequestKind::OnceOnly, 1));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  fixture.end(1, AttemptEnd::Failed);
+  CHECK(fixture.Node.book().find(EndpointId("e0"))->SuspectUntil <=
+        fixture.Now);
 }
 
 TEST_CASE("a retry that was never sent returns to the budget") {
-  NodeWorld world(6, makeRoute(RequestKind::Repeatable, 2));
+  NodeFixture fixture(6, makeRoute(RequestKind::Repeatable, 2));
   // Allows one retry per window.
-  world.Node.setRetries({0, 2, seconds(10)});
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::Lost)));
-  CHECK(only<StartAttempt>(world.end(1, AttemptEnd::NeverSent)));
+  fixture.Node.setRetries({0, 2, seconds(10)});
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::Lost)));
+  CHECK(only<StartAttempt>(fixture.end(1, AttemptEnd::NeverSent)));
 }
--- a/unittests/Direct/ManyEntriesTest.cpp
+++ b/unittests/Direct/ManyEntriesTest.cpp
@@ -5,7 +5,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "Direct/NodeWorld.h"
+#include "Direct/NodeFixture.h"
 #include "RandomScheduler.h"
 
 #include <doctest/doctest.h>
@@ -19,11 +19,11 @@
 
 namespace {
 /// Entries, endpoints of one service, and steady arrivals on virtual time.
-class CrowdWorld {
+class LoadSimulation {
 public:
   static constexpr unsigned Slots = 6;
 
-  CrowdWorld(unsigned entries, unsigned endpoints, double perSecond)
+  LoadSimulation(unsigned entries, unsigned endpoints, double perSecond)
       : Time(1, 0), Route(::test::makeRoute(RequestKind::Repeatable, 2)),
         Each(seconds(1) / perSecond) {
     auto config = std::make_shared<FleetConfig>();
@@ -57,7 +57,7 @@
 
   unsigned requests() const { return Requests; }
   /// Requests that arrived at an endpoint without a free slot.
-  unsigned crowded() const { return Crowded; }
+  unsigned overloaded() const { return Overloaded; }
 
 private:
   void at(Duration after, std::function<void()> what) {
@@ -85,7 +85,7 @@
     if (!started)
       return;
     EndpointId endpoint = started->Endpoint.Id;
-    Crowded += ++Running[endpoint] > Slots ? 1 : 0;
+    Overloaded += ++Running[endpoint] > Slots ? 1 : 0;
     at(milliseconds(180),
        [this, entry, id] { Nodes[entry]->onFirstByte(id, Time.now()); });
     at(milliseconds(500) + Duration(Time.below(2000000)),
@@ -113,21 +113,21 @@
   std::vector<std::unique_ptr<DirectNode>> Nodes;
   std::map<EndpointId, unsigned> Running;
   unsigned Requests = 0;
-  unsigned Crowded = 0;
+  unsigned Overloaded = 0;
 };
 } // namespace
 
 TEST_CASE(
     "many entries do not crowd the endpoint with the lowest reported load") {
   // Two thirds of the slots are in use.
-  CrowdWorld large(52, 192, 500);
+  LoadSimulation large(52, 192, 500);
   large.run(seconds(5));
   CHECK(large.requests() > 2000);
-  CHECK(large.crowded() * 500 <= large.requests());
-  CrowdWorld small(5, 16, 42);
+  CHECK(large.overloaded() * 500 <= large.requests());
+  LoadSimulation small(5, 16, 42);
   small.run(seconds(20));
   CHECK(small.requests() > 700);
-  CHECK(small.crowded() * 100 <= small.requests());
+  CHECK(small.overloaded() * 100 <= small.requests());
 }
 
 TEST_CASE(
@@ -159,7 +159,7 @@
   for (unsigned tick = 0; tick < 100; ++tick, now += milliseconds(100)) {
     for (EndpointBook &it : books) {
       it.onEvents(listed.front().Record.Id, milliseconds(500), now);
-      for (const EndpointRecord &question : it.takePaceQuestions(
+      for (const EndpointRecord &question : it.takeSlowdownQueries(
                [](const EndpointState &) { return true; }, now, random)) {
         ++asked;
         it.onTold(question.Id, slow, now);
@@ -172,7 +172,7 @@
           books[to].setPeerLoad("n" + std::to_string(from), loads, now);
     }
     for (const auto &[id, state] : books.back().states())
-      known += EndpointBook::paceOf(state, now) > 1 ? 1 : 0;
+      known += EndpointBook::slowdownOf(state, now) > 1 ? 1 : 0;
   }
   // In ten seconds, about one query per second and endpoint. If each entry
   // queried on its own, there would be 50,000.
--- a/unittests/Direct/NodeWorld.h
+++ b/unittests/Direct/NodeFixture.h
@@ -1,11 +1,11 @@
-//===- NodeWorld.h - fixture for tests of DirectNode ------------*- C++ -*-===//
+//===- NodeFixture.h - fixture for tests of DirectNode ----------*- C++ -*-===//
 //
 // Shared fixture and helpers of the tests of DirectNode.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_DIRECT_NODEWORLD_H
-#define OSPREYSPUR_UNITTESTS_DIRECT_NODEWORLD_H
+#ifndef OSPREYSPUR_UNITTESTS_DIRECT_NODEFIXTURE_H
+#define OSPREYSPUR_UNITTESTS_DIRECT_NODEFIXTURE_H
 
 #include "ospreyspur/Direct/DirectNode.h"
 
@@ -22,11 +22,11 @@
 using namespace ospreyspur;
 
 /// A DirectNode with some endpoints of one service.
-class NodeWorld {
+class NodeFixture {
 public:
   /// \p seed decides between equally good endpoints.
-  explicit NodeWorld(unsigned endpoints, RouteRule rule = RouteRule(),
-                     std::uint64_t seed = 1)
+  explicit NodeFixture(unsigned endpoints, RouteRule rule = RouteRule(),
+                       std::uint64_t seed = 1)
       : Node(DataCentreId("a"), DirectLimits(), seed) {
     auto config = std::make_shared<FleetConfig>();
     rule.Services = {{ServiceId("s"), 1}};
@@ -62,7 +62,7 @@
 
   /// Lets \p n endpoints complete one request each, so that they count as known
   /// to serve.
-  void prove(unsigned n) {
+  void proveServing(unsigned n) {
     for (unsigned i = 0; i < n; ++i)
       call(100 + i);
     for (unsigned i = 0; i < n; ++i)
@@ -115,23 +115,23 @@
 
 /// Fills two endpoints of two slots each and breaks the first stream off.
 /// Returns a call that runs at the endpoint that did not run the first stream.
-inline std::uint64_t breakOffWithoutRoom(NodeWorld &world) {
-  DirectActions first = world.call(1);
+inline std::uint64_t breakOffWithoutCapacity(NodeFixture &fixture) {
+  DirectActions first = fixture.call(1);
   REQUIRE(only<StartAttempt>(first));
   std::uint64_t onOther = 0;
   for (std::uint64_t id = 2; id <= 4; ++id) {
-    DirectActions next = world.call(id);
+    DirectActions next = fixture.call(id);
     REQUIRE(only<StartAttempt>(next));
     if (only<StartAttempt>(next)->Endpoint.Id !=
         only<StartAttempt>(first)->Endpoint.Id)
       onOther = id;
   }
-  world.Node.onFirstByte(CallId(1), world.Now);
-  CHECK(world.end(1, AttemptEnd::BrokeOff).empty());
-  CHECK(world.Node.waitingCount() == 1);
+  fixture.Node.onFirstByte(CallId(1), fixture.Now);
+  CHECK(fixture.end(1, AttemptEnd::BrokeOff).empty());
+  CHECK(fixture.Node.waitingCount() == 1);
   return onOther;
 }
 
 } // namespace test
 
-#endif // OSPREYSPUR_UNITTESTS_DIRECT_NODEWORLD_H
+#endif // OSPREYSPUR_UNITTESTS_DIRECT_NODEFIXTURE_H
--- a/unittests/Direct/ReplacedEndpointTest.cpp
+++ b/unittests/Direct/ReplacedEndpointTest.cpp
@@ -7,7 +7,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "Direct/NodeWorld.h"
+#include "Direct/NodeFixture.h"
 
 #include "ospreyspur/Rpc/LoadCodec.h"
 
@@ -17,38 +17,38 @@
 using namespace test;
 using std::chrono::seconds;
 
-/// Lets \p world find out that one of its endpoints was replaced. Returns that
-/// endpoint's id.
-static EndpointId findReplaced(NodeWorld &world) {
-  DirectActions first = world.call(1);
+/// Lets \p fixture find out that one of its endpoints was replaced. Returns
+/// that endpoint's id.
+static EndpointId findReplaced(NodeFixture &fixture) {
+  DirectActions first = fixture.call(1);
   REQUIRE(only<StartAttempt>(first));
   EndpointId id = only<StartAttempt>(first)->Endpoint.Id;
-  world.end(1, AttemptEnd::OtherEndpoint);
+  fixture.end(1, AttemptEnd::OtherEndpoint);
   return id;
 }
 
-/// Returns how many of 200 consecutive requests \p world sends to \p id.
-static unsigned countSent(NodeWorld &world, const EndpointId &id) {
+/// Returns how many of 200 consecutive requests \p fixture sends to \p id.
+static unsigned countSent(NodeFixture &fixture, const EndpointId &id) {
   unsigned n = 0;
   for (std::uint64_t call = 1000; call < 1200; ++call) {
-    DirectActions actions = world.call(call);
+    DirectActions actions = fixture.call(call);
     const auto *started = find<StartAttempt>(actions);
     REQUIRE(started);
     n += started->Endpoint.Id == id ? 1 : 0;
-    world.end(call, AttemptEnd::Complete);
+    fixture.end(call, AttemptEnd::Complete);
   }
   return n;
 }
 
 TEST_CASE(
     "an endpoint that one entry found replaced is not tried by other entries") {
-  NodeWorld finder(3, makeRoute(RequestKind::Repeatable, 2));
-  NodeWorld other(3, makeRoute(RequestKind::Repeatable, 2), 2);
+  NodeFixture finder(3, makeRoute(RequestKind::Repeatable, 2));
+  NodeFixture other(3, makeRoute(RequestKind::Repeatable, 2), 2);
   EndpointId id = findReplaced(finder);
-  LoadReport told{"n", {}, {}, finder.Node.takeReplacedReport()};
-  std::optional<LoadReport> heard = decodeLoad(encodeLoad(told));
-  REQUIRE(heard);
-  other.Node.mergeReplaced(heard->Replaced, other.Now);
+  LoadReport reported{"n", {}, {}, finder.Node.takeReplacedReport()};
+  std::optional<LoadReport> decoded = decodeLoad(encodeLoad(reported));
+  REQUIRE(decoded);
+  other.Node.mergeReplaced(decoded->Replaced, other.Now);
   CHECK(countSent(other, id) == 0);
   CHECK(countSent(finder, id) == 0);
   // The same holds later, as the incarnation has ended for good.
@@ -57,10 +57,10 @@
 }
 
 TEST_CASE("a replaced endpoint is reported only a few times") {
-  NodeWorld finder(3, makeRoute(RequestKind::Repeatable, 2));
+  NodeFixture finder(3, makeRoute(RequestKind::Repeatable, 2));
   findReplaced(finder);
-  unsigned told = 0;
+  unsigned reported = 0;
   for (unsigned i = 0; i < 10; ++i)
-    told += finder.Node.takeReplacedReport().size();
-  CHECK(told == EndpointBook::ReplacedRepeats);
+    reported += finder.Node.takeReplacedReport().size();
+  CHECK(reported == EndpointBook::ReplacedReports);
 }
--- a/unittests/Direct/SharedBoundTest.cpp
+++ b/unittests/Direct/SharedRetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-//===- SharedBoundTest.cpp - retry budget of all entries together ---------===//
+//===- SharedRetryBudgetTest.cpp - retry budget of all entries together ---===//
 //
 // Entries on virtual time with endpoints that lose every request, so that each
 // entry retries as often as it may. Guards against retries beyond the limit for
@@ -8,7 +8,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "Direct/NodeWorld.h"
+#include "Direct/NodeFixture.h"
 #include "RandomScheduler.h"
 
 #include <doctest/doctest.h>
@@ -29,9 +29,9 @@
 constexpr unsigned Endpoints = 40;
 constexpr unsigned RequestsPerSecond = 100;
 
-class LossyFleet {
+class RetryLimitSimulation {
 public:
-  explicit LossyFleet(std::uint64_t seed) : Time(seed, 0) {
+  explicit RetryLimitSimulation(std::uint64_t seed) : Time(seed, 0) {
     auto config = std::make_shared<FleetConfig>();
     RouteRule route = makeRoute(RequestKind::Repeatable, 4);
     route.Services = {{ServiceId("s"), 1}};
@@ -77,7 +77,7 @@
     });
   }
 
-  std::size_t repeats() const { return RepeatTimes.size(); }
+  std::size_t retries() const { return RetryTimes.size(); }
   /// Returns the largest excess of retries in a window over what all entries
   /// together may send.
   double worstExcess() const {
@@ -88,11 +88,11 @@
                     std::upper_bound(times.begin(), times.end(), from));
     };
     double worst = -bounds.Allowance;
-    for (TimePoint at : RepeatTimes) {
+    for (TimePoint at : RetryTimes) {
       TimePoint from = at - bounds.Window;
       double allowed =
           bounds.Ratio * countIn(RequestTimes, from, at) + bounds.Allowance;
-      worst = std::max(worst, countIn(RepeatTimes, from, at) - allowed);
+      worst = std::max(worst, countIn(RetryTimes, from, at) - allowed);
     }
     return worst;
   }
@@ -164,7 +164,7 @@
       if (!started)
         continue;
       if (!Arrived.insert(started->Call).second)
-        RepeatTimes.push_back(Time.now());
+        RetryTimes.push_back(Time.now());
       lose(i, Nodes[i].Life, started->Call);
     }
   }
@@ -186,7 +186,7 @@
   std::vector<ListedEndpoint> Listed;
   std::vector<Entry> Nodes;
   std::vector<TimePoint> RequestTimes;
-  std::vector<TimePoint> RepeatTimes;
+  std::vector<TimePoint> RetryTimes;
   std::set<CallId> Arrived;
   TimePoint CutUntil;
   TimePoint StoreOutUntil;
@@ -198,9 +198,9 @@
           "the store") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    LossyFleet fleet(seed);
+    RetryLimitSimulation fleet(seed);
     fleet.run(seconds(22));
-    CHECK(fleet.repeats() > 100);
+    CHECK(fleet.retries() > 100);
     fleet.setStoreOut(seconds(12));
     fleet.run(seconds(5));
     for (unsigned i = 0; i < 3; ++i)
@@ -214,7 +214,7 @@
     "the retry limit holds when entries restart one by one and together") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    LossyFleet fleet(seed);
+    RetryLimitSimulation fleet(seed);
     fleet.run(seconds(15));
     fleet.setStoreOut(seconds(14));
     for (unsigned i = 0; i < Entries; ++i) {
@@ -235,7 +235,7 @@
           "the store available") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    LossyFleet fleet(seed);
+    RetryLimitSimulation fleet(seed);
     fleet.run(seconds(15));
     for (unsigned n = 0; n < 4; ++n) {
       for (unsigned i = 0; i < Entries; ++i)
@@ -251,7 +251,7 @@
           "frozen and killed") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    LossyFleet fleet(seed);
+    RetryLimitSimulation fleet(seed);
     fleet.run(seconds(15));
     fleet.setStoreOut(seconds(20));
     fleet.cutReports(seconds(16));
--- a/unittests/Direct/SilentStreamTest.cpp
+++ b/unittests/Direct/SilentStreamTest.cpp
@@ -13,7 +13,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "Direct/TwoGroupWorld.h"
+#include "Direct/TwoGroupFixture.h"
 
 #include <doctest/doctest.h>
 
@@ -28,9 +28,9 @@
 
 namespace {
 /// Streams in two groups, some of which are silent at times.
-class StreamWorld : public TwoGroupWorld {
+class StreamFixture : public TwoGroupFixture {
 public:
-  StreamWorld() {
+  StreamFixture() {
     auto config = std::make_shared<FleetConfig>(*Config);
     config->Services.at(ServiceId("s")).Engine->UsualAnswer = 600;
     Config = std::move(config);
@@ -92,86 +92,86 @@
 
 TEST_CASE("one silent stream does not make its group slow") {
   constexpr std::uint64_t Silent = 8;
-  StreamWorld world;
-  world.begin(Silent);
-  CHECK(world.write(seconds(1), [](std::uint64_t /*id*/) { return false; })
+  StreamFixture fixture;
+  fixture.begin(Silent);
+  CHECK(fixture.write(seconds(1), [](std::uint64_t /*id*/) { return false; })
             .empty());
   auto isSilent = [](std::uint64_t id) { return id == Silent; };
-  CHECK(world.write(DirectLimits().MinSilence, isSilent).empty());
-  world.end(Silent, AttemptEnd::BrokeOff);
+  CHECK(fixture.write(DirectLimits().MinSilence, isSilent).empty());
+  fixture.end(Silent, AttemptEnd::BrokeOff);
   // The other streams of its group received events all the time.
-  for (const auto &[id, state] : world.Node.book().states())
-    CHECK(world.Node.book().gapOf(state, world.Now) < 2 * UsualGap);
-  CHECK(world.write(seconds(1), isSilent).empty());
+  for (const auto &[id, state] : fixture.Node.book().states())
+    CHECK(fixture.Node.book().gapOf(state, fixture.Now) < 2 * UsualGap);
+  CHECK(fixture.write(seconds(1), isSilent).empty());
 }
 
 /// Checks that every stopped stream continues in the other group at once.
-static void checkAllGoOn(StreamWorld &world,
-                         const std::vector<CallId> &stopped) {
+static void checkAllResume(StreamFixture &fixture,
+                           const std::vector<CallId> &stopped) {
   for (CallId it : stopped) {
-    DirectActions next = world.end(it.get(), AttemptEnd::BrokeOff);
+    DirectActions next = fixture.end(it.get(), AttemptEnd::BrokeOff);
     const auto *attempt = find<StartAttempt>(next);
     CHECK((attempt && attempt->Call == it));
-    CHECK((attempt &&
-           attempt->Endpoint.Id.get().substr(0, 1) != world.groupOf(it.get())));
+    CHECK((attempt && attempt->Endpoint.Id.get().substr(0, 1) !=
+                          fixture.groupOf(it.get())));
   }
 }
 
 TEST_CASE("a stream is stopped or ended only if necessary") {
   SUBCASE("no more streams are stopped than the retry budget allows") {
-    StreamWorld world;
-    world.Node.setRetries({0, 2, seconds(10)});
-    world.begin(6);
-    std::vector<CallId> stopped = world.slowDown(world.groupOf(1));
+    StreamFixture fixture;
+    fixture.Node.setRetries({0, 2, seconds(10)});
+    fixture.begin(6);
+    std::vector<CallId> stopped = fixture.slowDown(fixture.groupOf(1));
     CHECK(stopped.size() == 1);
-    checkAllGoOn(world, stopped);
+    checkAllResume(fixture, stopped);
   }
   SUBCASE("no more streams are stopped than there are free slots in the other "
           "group") {
-    StreamWorld world;
+    StreamFixture fixture;
     // There are eight slots in each group; one of the healthy group's is free.
-    world.begin(15);
-    std::vector<CallId> stopped = world.slowDown(world.fullest());
+    fixture.begin(15);
+    std::vector<CallId> stopped = fixture.slowDown(fixture.fullest());
     CHECK(stopped.size() == 1);
-    checkAllGoOn(world, stopped);
+    checkAllResume(fixture, stopped);
   }
   SUBCASE("a stream that broke off waits for capacity until its deadline") {
-    NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
-    std::uint64_t onOther = breakOffWithoutRoom(world);
-    world.Now += seconds(3);
-    CHECK(world.Node.onTimer(world.Now).empty());
-    DirectActions freed = world.end(onOther, AttemptEnd::Complete);
+    NodeFixture fixture(2, makeRoute(RequestKind::Stream, 2, true));
+    std::uint64_t onOther = breakOffWithoutCapacity(fixture);
+    fixture.Now += seconds(3);
+    CHECK(fixture.Node.onTimer(fixture.Now).empty());
+    DirectActions freed = fixture.end(onOther, AttemptEnd::Complete);
     const auto *attempt = find<StartAttempt>(freed);
     CHECK((attempt && attempt->Call == CallId(1)));
   }
   SUBCASE("a stream that broke off and whose next endpoint is unreachable "
           "waits for capacity") {
-    NodeWorld world(3, makeRoute(RequestKind::Stream, 2, true));
-    REQUIRE(only<StartAttempt>(world.call(1)));
-    world.Node.onFirstByte(CallId(1), world.Now);
-    world.Now += seconds(3);
-    DirectActions next = world.end(1, AttemptEnd::BrokeOff);
+    NodeFixture fixture(3, makeRoute(RequestKind::Stream, 2, true));
+    REQUIRE(only<StartAttempt>(fixture.call(1)));
+    fixture.Node.onFirstByte(CallId(1), fixture.Now);
+    fixture.Now += seconds(3);
+    DirectActions next = fixture.end(1, AttemptEnd::BrokeOff);
     REQUIRE(only<StartAttempt>(next));
     std::vector<std::uint64_t> others;
-    for (std::uint64_t id = 2; !world.call(id).empty(); ++id)
+    for (std::uint64_t id = 2; !fixture.call(id).empty(); ++id)
       others.push_back(id);
-    CHECK(countOf<EndCall>(world.end(1, AttemptEnd::NeverSent)) == 0);
-    bool hasGoneOn = false;
+    CHECK(countOf<EndCall>(fixture.end(1, AttemptEnd::NeverSent)) == 0);
+    bool hasResumed = false;
     for (std::uint64_t id : others) {
-      DirectActions freed = world.end(id, AttemptEnd::Complete);
+      DirectActions freed = fixture.end(id, AttemptEnd::Complete);
       const auto *attempt = find<StartAttempt>(freed);
-      hasGoneOn = hasGoneOn || (attempt && attempt->Call == CallId(1));
+      hasResumed = hasResumed || (attempt && attempt->Call == CallId(1));
     }
-    CHECK(hasGoneOn);
+    CHECK(hasResumed);
   }
 }
 
 namespace {
 /// One stream that has begun, with endpoints of two slots each.
-class SilentWorld : public NodeWorld {
+class SilentStreamFixture : public NodeFixture {
 public:
-  explicit SilentWorld(unsigned endpoints)
-      : NodeWorld(endpoints, makeRoute(RequestKind::Stream, 2, true)) {
+  explicit SilentStreamFixture(unsigned endpoints)
+      : NodeFixture(endpoints, makeRoute(RequestKind::Stream, 2, true)) {
     DirectActions first = call(1);
     REQUIRE(only<StartAttempt>(first));
     Origin = only<StartAttempt>(first)->Endpoint.Id;
@@ -193,142 +193,143 @@
 
 TEST_CASE("a silent stream is migrated to an endpoint where a slot and a retry "
           "are reserved") {
-  SilentWorld world(2);
-  DirectActions stop = world.Node.onSilent(CallId(1), world.Now);
+  SilentStreamFixture fixture(2);
+  DirectActions stop = fixture.Node.onSilent(CallId(1), fixture.Now);
   REQUIRE(only<StopAttempt>(stop));
   CHECK((only<StopAttempt>(stop)->Reason == MoveReason::Silent));
-  CHECK(world.ownAt(world.other()) == 1);
+  CHECK(fixture.ownAt(fixture.other()) == 1);
   // The stream is stopped only once.
-  CHECK(world.Node.onSilent(CallId(1), world.Now).empty());
-  DirectActions next = world.end(1, AttemptEnd::BrokeOff);
+  CHECK(fixture.Node.onSilent(CallId(1), fixture.Now).empty());
+  DirectActions next = fixture.end(1, AttemptEnd::BrokeOff);
   REQUIRE(only<StartAttempt>(next));
-  CHECK(only<StartAttempt>(next)->Endpoint.Id == world.other());
-  CHECK(world.ownAt(world.other()) == 1);
-  CHECK(world.ownAt(world.Origin) == 0);
+  CHECK(only<StartAttempt>(next)->Endpoint.Id == fixture.other());
+  CHECK(fixture.ownAt(fixture.other()) == 1);
+  CHECK(fixture.ownAt(fixture.Origin) == 0);
 }
 
 TEST_CASE(
     "a silent stream without a free slot elsewhere stays until one is free") {
-  SilentWorld world(2);
+  SilentStreamFixture fixture(2);
   std::vector<std::uint64_t> others;
   for (std::uint64_t id = 2; id <= 4; ++id) {
-    DirectActions next = world.call(id);
+    DirectActions next = fixture.call(id);
     REQUIRE(only<StartAttempt>(next));
-    if (only<StartAttempt>(next)->Endpoint.Id == world.other())
+    if (only<StartAttempt>(next)->Endpoint.Id == fixture.other())
       others.push_back(id);
   }
   REQUIRE(others.size() == 2);
-  CHECK(world.Node.onSilent(CallId(1), world.Now).empty());
-  std::vector<WaitNote> notes = world.Node.takeWaitNotes();
+  CHECK(fixture.Node.onSilent(CallId(1), fixture.Now).empty());
+  std::vector<WaitNote> notes = fixture.Node.takeWaitNotes();
   REQUIRE(notes.size() == 1);
   CHECK(notes.front().IsSilent);
   SUBCASE("a stream that resumes does not take the free slot") {
-    world.Node.onEvents(CallId(1), world.Now);
-    CHECK(world.end(others.front(), AttemptEnd::Complete).empty());
+    fixture.Node.onEvents(CallId(1), fixture.Now);
+    CHECK(fixture.end(others.front(), AttemptEnd::Complete).empty());
   }
   SUBCASE("a stream that is still silent takes the free slot") {
-    DirectActions freed = world.end(others.front(), AttemptEnd::Complete);
+    DirectActions freed = fixture.end(others.front(), AttemptEnd::Complete);
     REQUIRE(only<StopAttempt>(freed));
     CHECK(only<StopAttempt>(freed)->Call == CallId(1));
   }
 }
 
 TEST_CASE("a slot that is reserved for a stream is released") {
-  SilentWorld world(2);
-  REQUIRE(only<StopAttempt>(world.Node.onSilent(CallId(1), world.Now)));
+  SilentStreamFixture fixture(2);
+  REQUIRE(only<StopAttempt>(fixture.Node.onSilent(CallId(1), fixture.Now)));
   SUBCASE("the stream completes after all") {
-    CHECK(world.end(1, AttemptEnd::Complete).empty());
+    CHECK(fixture.end(1, AttemptEnd::Complete).empty());
   }
   SUBCASE("its caller hangs up") {
-    world.Node.onCallGone(CallId(1), world.Now);
+    fixture.Node.onCallGone(CallId(1), fixture.Now);
   }
   SUBCASE("the endpoint starts draining") {
-    for (ListedEndpoint &it : world.Listed)
-      it.Record.IsLeaving = it.Record.Id == world.other();
-    world.Node.setEndpoints(world.Listed);
-    CHECK(world.end(1, AttemptEnd::BrokeOff).empty());
+    for (ListedEndpoint &it : fixture.Listed)
+      it.Record.IsLeaving = it.Record.Id == fixture.other();
+    fixture.Node.setEndpoints(fixture.Listed);
+    CHECK(fixture.end(1, AttemptEnd::BrokeOff).empty());
   }
-  CHECK(world.ownAt(world.other()) == 0);
+  CHECK(fixture.ownAt(fixture.other()) == 0);
 }
 
 TEST_CASE(
     "a stopped silent stream does not count as a failure of its endpoint") {
-  SilentWorld world(3);
-  DirectActions stop = world.Node.onSilent(CallId(1), world.Now);
+  SilentStreamFixture fixture(3);
+  DirectActions stop = fixture.Node.onSilent(CallId(1), fixture.Now);
   REQUIRE(only<StopAttempt>(stop));
-  TimePoint suspect = world.Node.book().find(world.Origin)->SuspectUntil;
-  CHECK(suspect == world.Now + EndpointBook::FirstSuspicion);
-  world.Now += milliseconds(100);
-  world.end(1, AttemptEnd::BrokeOff);
-  CHECK(world.Node.book().find(world.Origin)->SuspectUntil == suspect);
+  TimePoint suspect = fixture.Node.book().find(fixture.Origin)->SuspectUntil;
+  CHECK(suspect == fixture.Now + EndpointBook::FirstSuspicion);
+  fixture.Now += milliseconds(100);
+  fixture.end(1, AttemptEnd::BrokeOff);
+  CHECK(fixture.Node.book().find(fixture.Origin)->SuspectUntil == suspect);
 }
 
 TEST_CASE("a stopped slow stream does not count as a failure of its endpoint") {
-  StreamWorld world;
-  world.begin(4);
-  std::vector<CallId> stopped = world.slowDown(world.groupOf(1));
+  StreamFixture fixture;
+  fixture.begin(4);
+  std::vector<CallId> stopped = fixture.slowDown(fixture.groupOf(1));
   REQUIRE_FALSE(stopped.empty());
   for (CallId it : stopped)
-    REQUIRE(countOf<StartAttempt>(world.end(it.get(), AttemptEnd::BrokeOff)) ==
-            1);
-  for (const auto &[id, state] : world.Node.book().states())
+    REQUIRE(countOf<StartAttempt>(
+                fixture.end(it.get(), AttemptEnd::BrokeOff)) == 1);
+  for (const auto &[id, state] : fixture.Node.book().states())
     CHECK(state.SuspectUntil == TimePoint());
 }
 
 TEST_CASE("a silent stream is not moved to a suspect endpoint") {
-  SilentWorld world(2);
+  SilentStreamFixture fixture(2);
   // Of three more requests, at least one is at the other endpoint.
   for (std::uint64_t id = 2; id <= 4; ++id) {
-    DirectActions next = world.call(id);
+    DirectActions next = fixture.call(id);
     REQUIRE(only<StartAttempt>(next));
-    bool isAtOther = only<StartAttempt>(next)->Endpoint.Id == world.other();
-    world.end(id, isAtOther ? AttemptEnd::Failed : AttemptEnd::Complete);
-    world.Node.onCallGone(CallId(id), world.Now);
+    bool isAtOther = only<StartAttempt>(next)->Endpoint.Id == fixture.other();
+    fixture.end(id, isAtOther ? AttemptEnd::Failed : AttemptEnd::Complete);
+    fixture.Node.onCallGone(CallId(id), fixture.Now);
   }
-  REQUIRE(world.Node.book().find(world.other())->SuspectUntil > world.Now);
-  CHECK(world.Node.onSilent(CallId(1), world.Now).empty());
-  world.Now = world.Node.book().find(world.other())->SuspectUntil;
-  CHECK(only<StopAttempt>(world.Node.onSilent(CallId(1), world.Now)));
+  REQUIRE(fixture.Node.book().find(fixture.other())->SuspectUntil >
+          fixture.Now);
+  CHECK(fixture.Node.onSilent(CallId(1), fixture.Now).empty());
+  fixture.Now = fixture.Node.book().find(fixture.other())->SuspectUntil;
+  CHECK(only<StopAttempt>(fixture.Node.onSilent(CallId(1), fixture.Now)));
 }
 
 TEST_CASE("a silent request that runs at most once is not migrated") {
-  NodeWorld world(2, makeRoute(RequestKind::OnceOnly, 2));
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  world.Now += seconds(3);
-  CHECK(world.Node.onSilent(CallId(1), world.Now).empty());
+  NodeFixture fixture(2, makeRoute(RequestKind::OnceOnly, 2));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  fixture.Now += seconds(3);
+  CHECK(fixture.Node.onSilent(CallId(1), fixture.Now).empty());
 }
 
 TEST_CASE("a stream is not migrated to a group whose streams are stalled") {
-  StreamWorld world;
-  world.begin(4);
-  world.write(seconds(1), [](std::uint64_t /*id*/) { return false; });
+  StreamFixture fixture;
+  fixture.begin(4);
+  fixture.write(seconds(1), [](std::uint64_t /*id*/) { return false; });
   // Both groups fall silent.
-  world.Now += DirectLimits().MinSilence;
+  fixture.Now += DirectLimits().MinSilence;
   for (std::uint64_t id = 1; id <= 4; ++id)
-    CHECK(countOf<StopAttempt>(world.Node.onSilent(CallId(id), world.Now)) ==
-          0);
+    CHECK(countOf<StopAttempt>(
+              fixture.Node.onSilent(CallId(id), fixture.Now)) == 0);
 }
 
 TEST_CASE(
     "a rejection does not count as an attempt of a stream that has begun") {
   // When a group breaks, its other ranks reject the streams that broke off at
   // the first one.
-  NodeWorld world(3, makeRoute(RequestKind::Stream, 2, true));
-  world.prove(3);
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  world.Node.onFirstByte(CallId(1), world.Now);
-  REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::BrokeOff)));
-  REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::Full)));
+  NodeFixture fixture(3, makeRoute(RequestKind::Stream, 2, true));
+  fixture.proveServing(3);
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  fixture.Node.onFirstByte(CallId(1), fixture.Now);
+  REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::BrokeOff)));
+  REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::Full)));
   // No endpoint is left now; the stream waits until its deadline.
-  CHECK(countOf<EndCall>(world.end(1, AttemptEnd::Full)) == 0);
-  CHECK(world.Node.waitingCount() == 1);
+  CHECK(countOf<EndCall>(fixture.end(1, AttemptEnd::Full)) == 0);
+  CHECK(fixture.Node.waitingCount() == 1);
 }
 
 TEST_CASE("a stream which may have run is not reported as not run") {
-  NodeWorld world(2, makeRoute(RequestKind::Stream, 2, true));
-  REQUIRE(only<StartAttempt>(world.call(1)));
-  REQUIRE(only<StopAttempt>(world.Node.onSilent(CallId(1), world.Now)));
-  REQUIRE(only<StartAttempt>(world.end(1, AttemptEnd::Lost)));
-  DirectActions last = world.end(1, AttemptEnd::Full);
+  NodeFixture fixture(2, makeRoute(RequestKind::Stream, 2, true));
+  REQUIRE(only<StartAttempt>(fixture.call(1)));
+  REQUIRE(only<StopAttempt>(fixture.Node.onSilent(CallId(1), fixture.Now)));
+  REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::Lost)));
+  DirectActions last = fixture.end(1, AttemptEnd::Full);
   CHECK((describe(codeOf(last)).Kind == Outcome::Unknown));
 }
--- a/unittests/Direct/TwoGroupWorld.h
+++ b/unittests/Direct/TwoGroupFixture.h
@@ -1,13 +1,13 @@
-//===- TwoGroupWorld.h - fixture with two groups of endpoints ---*- C++ -*-===//
+//===- TwoGroupFixture.h - fixture with two groups of endpoints -*- C++ -*-===//
 //
 // Shared fixture of the tests of streams in groups.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPWORLD_H
-#define OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPWORLD_H
+#ifndef OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPFIXTURE_H
+#define OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPFIXTURE_H
 
-#include "Direct/NodeWorld.h"
+#include "Direct/NodeFixture.h"
 
 #include <array>
 
@@ -15,10 +15,10 @@
 
 /// A DirectNode with two groups of two endpoints with four slots each. The
 /// first two calls go to different groups.
-class TwoGroupWorld : public NodeWorld {
+class TwoGroupFixture : public NodeFixture {
 public:
-  TwoGroupWorld()
-      : NodeWorld(0, makeRoute(RequestKind::Stream, 2, true), Seed) {
+  TwoGroupFixture()
+      : NodeFixture(0, makeRoute(RequestKind::Stream, 2, true), Seed) {
     auto config = std::make_shared<FleetConfig>(*Config);
     EngineFigures &engine = *config->Services.at(ServiceId("s")).Engine;
     engine.UsualAnswer = 160;
@@ -67,4 +67,4 @@
 
 } // namespace test
 
-#endif // OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPWORLD_H
+#endif // OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPFIXTURE_H
