--- a/include/ospreyspur/Direct/DirectNode.h
+++ b/include/ospreyspur/Direct/DirectNode.h
@@ -191,8 +191,8 @@
   static constexpr std::size_t MaxReportedRuns = 64;
 
   void handleCutConnection(const CallState &call, TimePoint now);
-  void noteCrash(const EndpointId &id, const CutRun &run, TimePoint now);
-  void judgeCrashes(TimePoint now);
+  void recordCrash(const EndpointId &id, const CutRun &run, TimePoint now);
+  void evaluateCrashes(TimePoint now);
   void closeGroupOf(const EndpointId &id, TimePoint now);
   void handleReportedCrashes(const CrashReport &report, TimePoint now);
   void quarantine(RequestDigest request, bool isFromPeer, TimePoint now);
--- a/include/ospreyspur/Direct/EndpointBook.h
+++ b/include/ospreyspur/Direct/EndpointBook.h
@@ -43,7 +43,7 @@
   LifeDigest Life;
   bool IsMissing = false;
   /// Number of this entry's requests at the endpoint.
-  unsigned Own = 0;
+  unsigned OwnRequests = 0;
   /// Pending prompt tokens: those of this entry's requests without a first
   /// byte.
   unsigned OwnPendingTokens = 0;
--- a/include/ospreyspur/Direct/EventCutter.h
+++ b/include/ospreyspur/Direct/EventCutter.h
@@ -29,7 +29,7 @@
   const std::string &lastId() const { return LastId; }
 
 private:
-  void noteIds(std::string_view events);
+  void recordIds(std::string_view events);
 
   std::string Incomplete;
   std::string LastId;
--- a/lib/Direct/DirectCrashes.cpp
+++ b/lib/Direct/DirectCrashes.cpp
@@ -31,7 +31,7 @@
   LifeDigest life = digestLife(*call.Current);
   if (std::optional<TimePoint> ended = Crashes.endOf(life)) {
     if (call.SentAt < *ended)
-      noteCrash(*call.Current, run, now);
+      recordCrash(*call.Current, run, now);
     return;
   }
   auto [it, isNew] = Checks.try_emplace(*call.Current);
@@ -50,14 +50,14 @@
   if (fate == EndpointFate::Ended) {
     closeGroupOf(id, now);
     for (const CutRun &run : runs)
-      noteCrash(id, run, now);
+      recordCrash(id, run, now);
   }
   startWaiting(now);
   return takeActions();
 }
 
-void DirectNode::noteCrash(const EndpointId &id, const CutRun &run,
-                           TimePoint now) {
+void DirectNode::recordCrash(const EndpointId &id, const CutRun &run,
+                             TimePoint now) {
   std::size_t endpoints = Picker.countEndpoints(run.Service);
   Crashes.onCrash(run.Request, digestLife(id), run.Ran, endpoints, now);
   CrashNotes.push_back({run.Request, run.Label, id, run.Ran,
@@ -66,7 +66,7 @@
                         Crashes.standingOf(run.Request), false});
 }
 
-void DirectNode::judgeCrashes(TimePoint now) {
+void DirectNode::evaluateCrashes(TimePoint now) {
   for (RequestDigest it : Crashes.judge(now))
     quarantine(it, false, now);
 }
--- a/lib/Direct/DirectMoves.cpp
+++ b/lib/Direct/DirectMigrations.cpp
@@ -1,4 +1,4 @@
-//===- DirectMoves.cpp - migration of requests ----------------------------===//
+//===- DirectMigrations.cpp - migration of requests -----------------------===//
 //
 // The part of DirectNode that migrates requests away from endpoints that are
 // silent or too slow. An attempt is stopped only once the capacity for its
--- a/lib/Direct/DirectNode.cpp
+++ b/lib/Direct/DirectNode.cpp
@@ -198,7 +198,7 @@
 DirectActions DirectNode::onTimer(TimePoint now) {
   LastTimer = now;
   Book.clearExpiredFull(now);
-  judgeCrashes(now);
+  evaluateCrashes(now);
   sendStatusQueries(now);
   startWaiting(now);
   std::vector<CallId> late;
--- a/lib/Direct/DirectQuestions.cpp
+++ b/lib/Direct/DirectStatusQueries.cpp
@@ -1,4 +1,4 @@
-//===- DirectQuestions.cpp - status queries to endpoints ------------------===//
+//===- DirectStatusQueries.cpp - status queries to endpoints --------------===//
 //
 // The part of DirectNode that queries engines for whether they accept requests
 // and for their slowdown factors.
--- a/lib/Direct/EndpointBook.cpp
+++ b/lib/Direct/EndpointBook.cpp
@@ -38,7 +38,7 @@
   for (auto it = States.begin(); it != States.end();) {
     bool isGone = !present.contains(it->first);
     it->second.Record.IsLeaving = it->second.Record.IsLeaving || isGone;
-    bool isIdle = it->second.Own == 0;
+    bool isIdle = it->second.OwnRequests == 0;
     it = isGone && isIdle ? States.erase(it) : std::next(it);
   }
 }
@@ -61,7 +61,7 @@
 
 void EndpointBook::onStarted(const EndpointId &id, unsigned promptTokens) {
   if (EndpointState *it = findMutable(id)) {
-    ++it->Own;
+    ++it->OwnRequests;
     it->OwnPendingTokens += promptTokens;
   }
 }
@@ -105,8 +105,8 @@
 
 void EndpointBook::onEnded(const EndpointId &id, bool wasDecoding) {
   EndpointState *it = findMutable(id);
-  if (it && it->Own > 0)
-    --it->Own;
+  if (it && it->OwnRequests > 0)
+    --it->OwnRequests;
   if (it && wasDecoding)
     Gaps.onEnded(groupKey(*it));
 }
@@ -350,7 +350,7 @@
 
 EndpointLoad EndpointBook::totalLoad(const EndpointState &state,
                                      TimePoint now) const {
-  EndpointLoad out{state.Record.Id, state.Own, state.OwnPendingTokens};
+  EndpointLoad out{state.Record.Id, state.OwnRequests, state.OwnPendingTokens};
   for (const auto &[name, peer] : Peers) {
     auto it = peer.Loads.find(state.Record.Id);
     if (it == peer.Loads.end() || now - peer.At >= MaxPeerLoadAge)
@@ -365,8 +365,8 @@
   std::vector<EndpointLoad> out;
   for (const auto &[id, state] : States) {
     bool isReported = now - state.SlowdownReportedAt < SlowdownInterval;
-    if (state.Own > 0 || isReported)
-      out.push_back({id, state.Own, state.OwnPendingTokens,
+    if (state.OwnRequests > 0 || isReported)
+      out.push_back({id, state.OwnRequests, state.OwnPendingTokens,
                      isReported ? state.Pace : 0.0});
   }
   return out;
--- a/lib/Direct/EventCutter.cpp
+++ b/lib/Direct/EventCutter.cpp
@@ -23,11 +23,11 @@
   std::size_t n = wholeLength(Incomplete);
   std::string whole = Incomplete.substr(0, n);
   Incomplete.erase(0, n);
-  noteIds(whole);
+  recordIds(whole);
   return whole;
 }
 
-void EventCutter::noteIds(std::string_view events) {
+void EventCutter::recordIds(std::string_view events) {
   constexpr std::string_view Field = "id:";
   while (!events.empty()) {
     std::size_t end = events.find('\n');
--- a/unittests/Direct/CrashSimulation.cpp
+++ b/unittests/Direct/CrashSimulation.cpp
@@ -202,7 +202,7 @@
 }
 
 /// Callers try once more, but for what they are told is of no use.
-void CrashSimulation::onTold(CallId id, ResultCode code) {
+void CrashSimulation::onResult(CallId id, ResultCode code) {
   auto it = Callers.find(id);
   if (it == Callers.end())
     return;
@@ -328,11 +328,11 @@
 }
 
 void CrashSimulation::perform(unsigned /*i*/, const EndCall &it) {
-  onTold(it.Call, it.Code);
+  onResult(it.Call, it.Code);
 }
 
 void CrashSimulation::perform(unsigned i, const PassOnAnswer &it) {
-  onTold(it.Call, ResultCode::EndpointFailed);
+  onResult(it.Call, ResultCode::EndpointFailed);
   toEntry(i, [this, id = it.Call](DirectNode &node) {
     return node.onCallGone(id, Time.now());
   });
--- a/unittests/Direct/CrashSimulation.h
+++ b/unittests/Direct/CrashSimulation.h
@@ -113,7 +113,7 @@
   void scheduleHarmlessRequest();
   void scheduleDeadlyRequest(RequestDigest request, Duration meanPause);
   void call(Caller caller);
-  void onTold(CallId id, ResultCode code);
+  void onResult(CallId id, ResultCode code);
   void perform(unsigned i, const StartAttempt &it);
   void perform(unsigned i, const EndCall &it);
   void perform(unsigned i, const PassOnAnswer &it);
--- a/unittests/Direct/DirectCallsTest.cpp
+++ b/unittests/Direct/DirectCallsTest.cpp
@@ -158,7 +158,7 @@
     REQUIRE(only<StopAttempt>(fixture.Node.onSilent(CallId(1), fixture.Now)));
     for (ListedEndpoint &it : fixture.Listed) {
       const EndpointState *state = fixture.Node.book().find(it.Record.Id);
-      it.Record.IsLeaving = state->Own > 0;
+      it.Record.IsLeaving = state->OwnRequests > 0;
     }
     fixture.Node.setEndpoints(fixture.Listed);
     CHECK(countOf<StartAttempt>(fixture.end(1, AttemptEnd::BrokeOff)) == 1);
@@ -200,7 +200,7 @@
   REQUIRE(only<StartAttempt>(fixture.call(1)));
   fixture.Node.onFirstByte(CallId(1), fixture.Now);
   EndpointId other("e0");
-  if (fixture.Node.book().find(other)->Own > 0)
+  if (fixture.Node.book().find(other)->OwnRequests > 0)
     other = EndpointId("e1");
   fixture.Node.setPeerLoad("n", {{other, 100, 0}}, fixture.Now);
   fixture.end(1, AttemptEnd::BrokeOff);
--- a/unittests/Direct/SilentStreamTest.cpp
+++ b/unittests/Direct/SilentStreamTest.cpp
@@ -180,7 +180,7 @@
   }
 
   unsigned ownAt(const EndpointId &id) const {
-    return Node.book().find(id)->Own;
+    return Node.book().find(id)->OwnRequests;
   }
   /// Returns the endpoint that the stream did not start at; there must be two.
   EndpointId other() const {
