--- a/include/ospreyspur/Direct/DirectNode.h
+++ b/include/ospreyspur/Direct/DirectNode.h
@@ -60,8 +60,9 @@
     return Book.takeReplacedReport();
   }
   /// Takes the endpoints that another entry reported as replaced.
-  void mergeReplaced(const std::vector<LifeDigest> &lives, TimePoint now) {
-    Book.mergeReplaced(lives, now);
+  void mergeReplaced(const std::vector<LifeDigest> &incarnations,
+                     TimePoint now) {
+    Book.mergeReplaced(incarnations, now);
   }
   /// The key-value store lists the entries \p names, apart from this one.
   void setListedEntries(std::set<std::string> names, TimePoint now) {
@@ -124,7 +125,8 @@
     return Closed.takeLeavingReport();
   }
   /// Takes the draining incarnations that another entry reported.
-  DirectActions onLeaving(const std::vector<LifeDigest> &lives, TimePoint now);
+  DirectActions onLeaving(const std::vector<LifeDigest> &incarnations,
+                          TimePoint now);
   /// Whether the request of the current attempt may be written now. The
   /// endpoint may have lowered its limits since it was picked.
   bool maySend(CallId id, TimePoint now);
--- a/include/ospreyspur/Direct/EndpointBook.h
+++ b/include/ospreyspur/Direct/EndpointBook.h
@@ -179,8 +179,9 @@
                                              TimePoint now);
   /// Another incarnation has the endpoint's address.
   void onReplaced(const EndpointId &id, TimePoint now);
-  /// Another entry reported the incarnations \p lives as replaced.
-  void mergeReplaced(const std::vector<LifeDigest> &lives, TimePoint now);
+  /// Another entry reported \p incarnations as replaced.
+  void mergeReplaced(const std::vector<LifeDigest> &incarnations,
+                     TimePoint now);
   /// Returns the replaced endpoints to report to the other entries now.
   std::vector<LifeDigest> takeReplacedReport();
 
@@ -188,8 +189,8 @@
 
   const std::map<EndpointId, EndpointState> &states() const { return States; }
   const EndpointState *find(const EndpointId &id) const;
-  /// Returns the endpoint of the incarnation \p life; null if it is unknown.
-  const EndpointState *findLife(LifeDigest life) const;
+  /// Returns the endpoint of \p incarnation; null if unknown.
+  const EndpointState *findLife(LifeDigest incarnation) const;
   /// When the next endpoint that rejected a request as full may be tried again.
   std::optional<TimePoint> nextFree() const;
   /// When takeStatusQueries() must be called next.
--- a/include/ospreyspur/Direct/EndpointRecord.h
+++ b/include/ospreyspur/Direct/EndpointRecord.h
@@ -20,9 +20,11 @@
 /// process has lost all earlier state, so the incarnations of a name must not
 /// share an entry in any table: not for health, load, group, slowdown or
 /// attempts.
-inline EndpointId makeEndpointId(const std::string &name, EndpointLife life) {
-  bool isKnown = life != EndpointLife(0);
-  return EndpointId(isKnown ? name + "@" + std::to_string(life.get()) : name);
+inline EndpointId makeEndpointId(const std::string &name,
+                                 EndpointLife incarnation) {
+  bool isKnown = incarnation != EndpointLife(0);
+  return EndpointId(isKnown ? name + "@" + std::to_string(incarnation.get())
+                            : name);
 }
 
 /// One incarnation of an endpoint.
--- a/lib/Direct/DirectCrashes.cpp
+++ b/lib/Direct/DirectCrashes.cpp
@@ -28,8 +28,8 @@
     return;
   CutRun run{call.Request.Digest, call.Request.Label, call.Service,
              now - call.SentAt};
-  LifeDigest life = digestLife(*call.Current);
-  if (std::optional<TimePoint> ended = Crashes.endOf(life)) {
+  LifeDigest incarnation = digestLife(*call.Current);
+  if (std::optional<TimePoint> ended = Crashes.endOf(incarnation)) {
     if (call.SentAt < *ended)
       recordCrash(*call.Current, run, now);
     return;
--- a/lib/Direct/DirectPushback.cpp
+++ b/lib/Direct/DirectPushback.cpp
@@ -81,8 +81,8 @@
   if (rows.empty())
     return takeActions();
   refreshMembers(now);
-  auto isKnown = [this](LifeDigest life) {
-    return Book.findLife(life) != nullptr;
+  auto isKnown = [this](LifeDigest incarnation) {
+    return Book.findLife(incarnation) != nullptr;
   };
   Rates.merge(rows, isKnown, now);
   if (Rates.hasNotes())
@@ -90,9 +90,9 @@
   return takeActions();
 }
 
-DirectActions DirectNode::onLeaving(const std::vector<LifeDigest> &lives,
+DirectActions DirectNode::onLeaving(const std::vector<LifeDigest> &incarnations,
                                     TimePoint now) {
-  for (LifeDigest it : lives)
+  for (LifeDigest it : incarnations)
     if (Book.findLife(it))
       Closed.onLeaving(it, true, now);
   return takeActions();
--- a/lib/Direct/EndpointBook.cpp
+++ b/lib/Direct/EndpointBook.cpp
@@ -196,12 +196,13 @@
   it->ReplacedUntil = now + ReplacedTime;
 }
 
-void EndpointBook::mergeReplaced(const std::vector<LifeDigest> &lives,
+void EndpointBook::mergeReplaced(const std::vector<LifeDigest> &incarnations,
                                  TimePoint now) {
-  if (lives.empty())
+  if (incarnations.empty())
     return;
   for (auto &[id, state] : States)
-    if (std::find(lives.begin(), lives.end(), state.Life) != lives.end())
+    if (std::find(incarnations.begin(), incarnations.end(), state.Life) !=
+        incarnations.end())
       state.ReplacedUntil = now + ReplacedTime;
 }
 
@@ -340,11 +341,11 @@
   return it == States.end() ? nullptr : &it->second;
 }
 
-const EndpointState *EndpointBook::findLife(LifeDigest life) const {
-  auto it =
-      std::find_if(States.begin(), States.end(), [life](const auto &state) {
-        return state.second.Life == life;
-      });
+const EndpointState *EndpointBook::findLife(LifeDigest incarnation) const {
+  auto it = std::find_if(States.begin(), States.end(),
+                         [incarnation](const auto &state) {
+                           return state.second.Life == incarnation;
+                         });
   return it == States.end() ? nullptr : &it->second;
 }
 
--- a/lib/Direct/EndpointDocument.cpp
+++ b/lib/Direct/EndpointDocument.cpp
@@ -55,10 +55,10 @@
     return Error{ResultCode::PlatformBadAnswer,
                  "an endpoint lacks its address or state"};
   std::string name = textOf(in, "name");
-  EndpointLife life(numberOf(in, "life"));
-  return EndpointRecord{makeEndpointId(name, life),
+  EndpointLife incarnation(numberOf(in, "life"));
+  return EndpointRecord{makeEndpointId(name, incarnation),
                         name,
-                        life,
+                        incarnation,
                         ServiceId(textOf(in, "service")),
                         address.value(),
                         DataCentreId(textOf(in, "data_centre")),
--- a/unittests/Direct/CrashSimulation.cpp
+++ b/unittests/Direct/CrashSimulation.cpp
@@ -96,20 +96,20 @@
 void CrashSimulation::toEntry(
     unsigned i, std::function<DirectActions(DirectNode &)> input) {
   Time.at(Time.now() + between(milliseconds(1), milliseconds(3)),
-          [this, i, life = Entries[i].Life, input = std::move(input)] {
-            deliver(i, life, input);
+          [this, i, incarnation = Entries[i].Life, input = std::move(input)] {
+            deliver(i, incarnation, input);
           });
 }
 
 void CrashSimulation::deliver(
-    unsigned i, unsigned life,
+    unsigned i, unsigned incarnation,
     const std::function<DirectActions(DirectNode &)> &input) {
   Entry &entry = Entries[i];
-  if (entry.Life != life || !entry.Node)
+  if (entry.Life != incarnation || !entry.Node)
     return;
   if (Time.now() < entry.FrozenUntil) {
     Time.at(entry.FrozenUntil,
-            [this, i, life, input] { deliver(i, life, input); });
+            [this, i, incarnation, input] { deliver(i, incarnation, input); });
     return;
   }
   for (const DirectAction &action : input(*entry.Node))
@@ -124,22 +124,25 @@
     return;
   // A node whose timer is already due is called a moment later.
   entry.TimerAt = std::max(*due, Time.now() + milliseconds(1));
-  Time.at(entry.TimerAt, [this, i, life = entry.Life] {
-    deliver(i, life, [this](DirectNode &it) { return it.onTimer(Time.now()); });
+  Time.at(entry.TimerAt, [this, i, incarnation = entry.Life] {
+    deliver(i, incarnation,
+            [this](DirectNode &it) { return it.onTimer(Time.now()); });
   });
 }
 
-void CrashSimulation::report(unsigned i, unsigned life) {
+void CrashSimulation::report(unsigned i, unsigned incarnation) {
   Entry &entry = Entries[i];
-  if (entry.Life != life || !entry.Node)
+  if (entry.Life != incarnation || !entry.Node)
     return;
-  Time.at(Time.now() + milliseconds(50), [this, i, life] { report(i, life); });
-  sendReport(i, life);
+  Time.at(Time.now() + milliseconds(50),
+          [this, i, incarnation] { report(i, incarnation); });
+  sendReport(i, incarnation);
 }
 
-void CrashSimulation::sendReport(unsigned i, unsigned life) {
+void CrashSimulation::sendReport(unsigned i, unsigned incarnation) {
   Entry &entry = Entries[i];
-  if (entry.Life != life || !entry.Node || Time.now() < entry.FrozenUntil)
+  if (entry.Life != incarnation || !entry.Node ||
+      Time.now() < entry.FrozenUntil)
     return;
   std::vector<EndpointLoad> loads = entry.Node->book().ownLoads(Time.now());
   CrashReport crashes = entry.Node->takeCrashReport(Time.now());
@@ -217,7 +220,9 @@
   Run run{i, Entries[i].Life, it.Call, Callers[it.Call].Request, false};
   // A change is reported after the delay that batches changes.
   Time.at(Time.now() + milliseconds(8),
-          [this, i, life = run.EntryLife] { sendReport(i, life); });
+          [this, i, incarnation = run.EntryIncarnation] {
+            sendReport(i, incarnation);
+          });
   Time.at(
       Time.now() + between(milliseconds(1), milliseconds(3)),
       [this, run, id = it.Endpoint.Id] { onArrival(indexOf(id), run, id); });
@@ -242,24 +247,24 @@
   }
   std::uint64_t number = ++LastRun;
   it.Runs[number] = run;
-  unsigned life = it.Life;
+  unsigned incarnation = it.Life;
   Duration queued = between(milliseconds(30), milliseconds(250));
   if (isDeadly(run.Request)) {
     Duration ran = queued + between(milliseconds(20), milliseconds(90));
-    Time.at(Time.now() + ran, [this, endpoint, number, life] {
+    Time.at(Time.now() + ran, [this, endpoint, number, incarnation] {
       Endpoint &there = Endpoints[endpoint];
       auto found = there.Runs.find(number);
-      if (there.Life != life || found == there.Runs.end())
+      if (there.Life != incarnation || found == there.Runs.end())
         return;
       CrashTimes[found->second.Request].push_back(Time.now());
       crash(endpoint);
     });
     return;
   }
-  Time.at(Time.now() + queued, [this, endpoint, number, life] {
+  Time.at(Time.now() + queued, [this, endpoint, number, incarnation] {
     Endpoint &there = Endpoints[endpoint];
     auto found = there.Runs.find(number);
-    if (there.Life != life || found == there.Runs.end() ||
+    if (there.Life != incarnation || found == there.Runs.end() ||
         Time.now() < OpenAt[there.Group])
       return;
     found->second.HasBegun = true;
@@ -269,16 +274,17 @@
     });
   });
   Duration ran = queued + between(milliseconds(400), milliseconds(1800));
-  Time.at(Time.now() + ran,
-          [this, endpoint, number, life] { finish(endpoint, number, life); });
+  Time.at(Time.now() + ran, [this, endpoint, number, incarnation] {
+    finish(endpoint, number, incarnation);
+  });
 }
 
 void CrashSimulation::finish(unsigned endpoint, std::uint64_t run,
-                             unsigned life) {
+                             unsigned incarnation) {
   Endpoint &it = Endpoints[endpoint];
   auto found = it.Runs.find(run);
   // Stalled requests are cut by stall().
-  if (it.Life != life || found == it.Runs.end() ||
+  if (it.Life != incarnation || found == it.Runs.end() ||
       Time.now() < OpenAt[it.Group])
     return;
   Run done = found->second;
@@ -289,7 +295,7 @@
 
 void CrashSimulation::endRun(const Run &run, AttemptEnd end,
                              ConnectionEnd connection) {
-  if (Entries[run.Entry].Life != run.EntryLife)
+  if (Entries[run.Entry].Life != run.EntryIncarnation)
     return;
   toEntry(run.Entry, [this, run, end, connection](DirectNode &it) {
     return it.onAttemptEnded(run.Call, end, Time.now(), connection);
@@ -363,7 +369,7 @@
   for (Endpoint &endpoint : Endpoints)
     for (auto run = endpoint.Runs.begin(); run != endpoint.Runs.end(); ++run) {
       bool isIt = run->second.Call == it.Call && run->second.Entry == i &&
-                  run->second.EntryLife == Entries[i].Life;
+                  run->second.EntryIncarnation == Entries[i].Life;
       if (!isIt)
         continue;
       Run stopped = run->second;
--- a/unittests/Direct/CrashSimulation.h
+++ b/unittests/Direct/CrashSimulation.h
@@ -80,7 +80,7 @@
   };
   struct Run {
     unsigned Entry = 0;
-    unsigned EntryLife = 0;
+    unsigned EntryIncarnation = 0;
     CallId Call;
     RequestDigest Request;
     bool HasBegun = false;
@@ -105,11 +105,11 @@
   void publish();
   void startEntry(unsigned i);
   void toEntry(unsigned i, std::function<DirectActions(DirectNode &)> input);
-  void deliver(unsigned i, unsigned life,
+  void deliver(unsigned i, unsigned incarnation,
                const std::function<DirectActions(DirectNode &)> &input);
   void setTimer(unsigned i);
-  void report(unsigned i, unsigned life);
-  void sendReport(unsigned i, unsigned life);
+  void report(unsigned i, unsigned incarnation);
+  void sendReport(unsigned i, unsigned incarnation);
   void scheduleHarmlessRequest();
   void scheduleDeadlyRequest(RequestDigest request, Duration meanPause);
   void call(Caller caller);
@@ -121,7 +121,7 @@
   void perform(unsigned i, const CheckEndpoint &it);
   void perform(unsigned i, const StopAttempt &it);
   void onArrival(unsigned endpoint, const Run &run, const EndpointId &meant);
-  void finish(unsigned endpoint, std::uint64_t run, unsigned life);
+  void finish(unsigned endpoint, std::uint64_t run, unsigned incarnation);
   void crash(unsigned endpoint);
   void stall(unsigned group);
   void endRun(const Run &run, AttemptEnd end, ConnectionEnd connection);
--- a/unittests/Direct/SharedRetryBudgetTest.cpp
+++ b/unittests/Direct/SharedRetryBudgetTest.cpp
@@ -122,17 +122,17 @@
     Nodes[i].Node->setListedEntries(std::move(others), Time.now());
   }
 
-  bool isAwake(unsigned i, unsigned life) const {
+  bool isAwake(unsigned i, unsigned incarnation) const {
     const Entry &it = Nodes[i];
-    return it.Node && it.Life == life && Time.now() >= it.FrozenUntil;
+    return it.Node && it.Life == incarnation && Time.now() >= it.FrozenUntil;
   }
 
-  void report(unsigned i, unsigned life) {
-    if (Nodes[i].Life != life)
+  void report(unsigned i, unsigned incarnation) {
+    if (Nodes[i].Life != incarnation)
       return;
     Time.at(Time.now() + milliseconds(200),
-            [this, i, life] { report(i, life); });
-    if (!isAwake(i, life) || Time.now() < CutUntil)
+            [this, i, incarnation] { report(i, incarnation); });
+    if (!isAwake(i, incarnation) || Time.now() < CutUntil)
       return;
     for (unsigned k = 0; k < Entries; ++k)
       if (k != i)
@@ -169,12 +169,12 @@
     }
   }
 
-  void lose(unsigned i, unsigned life, CallId id) {
-    Time.at(Time.now() + milliseconds(2), [this, i, life, id] {
-      if (Nodes[i].Life != life)
+  void lose(unsigned i, unsigned incarnation, CallId id) {
+    Time.at(Time.now() + milliseconds(2), [this, i, incarnation, id] {
+      if (Nodes[i].Life != incarnation)
         return;
-      if (!isAwake(i, life)) {
-        lose(i, life, id);
+      if (!isAwake(i, incarnation)) {
+        lose(i, incarnation, id);
         return;
       }
       take(i, Nodes[i].Node->onAttemptEnded(id, AttemptEnd::Lost, Time.now()));
