--- a/lib/Direct/ArrivalRate.cpp
+++ b/lib/Direct/ArrivalRate.cpp
@@ -1,4 +1,4 @@
-//===- ArrivalRate.cpp - requests a second, by service --------------------===//
+//===- ArrivalRate.cpp - requests per second, by service ------------------===//
 //
 // See ArrivalRate.h.
 //
@@ -15,14 +15,14 @@
   return std::chrono::duration<double>(it).count();
 }
 
-double ArrivalRate::fade(const Count &count, TimePoint now) {
+double ArrivalRate::decay(const Count &count, TimePoint now) {
   return count.Requests *
          std::exp2(-secondsOf(now - count.At) / secondsOf(HalfLife));
 }
 
 void ArrivalRate::onRequest(const ServiceId &service, TimePoint now) {
   Count &it = Counts[service];
-  it.Requests = fade(it, now) + 1;
+  it.Requests = decay(it, now) + 1;
   it.At = now;
 }
 
@@ -30,6 +30,6 @@
   auto it = Counts.find(service);
   if (it == Counts.end())
     return 0;
-  // A steady rate r leaves r x half-life / ln 2 in the faded count.
-  return fade(it->second, now) * std::numbers::ln2 / secondsOf(HalfLife);
+  // At a steady rate r the decayed count converges to r * HalfLife / ln 2.
+  return decay(it->second, now) * std::numbers::ln2 / secondsOf(HalfLife);
 }
--- a/lib/Direct/DirectCrashes.cpp
+++ b/lib/Direct/DirectCrashes.cpp
@@ -1,7 +1,8 @@
-//===- DirectCrashes.cpp - calls under which an endpoint ended ------------===//
+//===- DirectCrashes.cpp - requests that crash endpoints ------------------===//
 //
-// The part of DirectNode that finds out whether an endpoint ended when it cut
-// an answer, and keeps requests that end endpoints away from them.
+// The part of DirectNode that finds out whether an endpoint crashed when it
+// closed a connection early, and keeps requests that crash endpoints away from
+// them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,24 +13,25 @@
 
 using namespace ospreyspur;
 
-/// Over which the turns of a suspect's copies are drawn: many times what the
-/// news of a start takes, some 15 ms; short beside the time that its caller
-/// has.
-static constexpr Duration TurnSpread = std::chrono::milliseconds(200);
+/// Range over which the start times of a suspect request's copies are drawn. It
+/// is many times the delay of some 15 ms until other entries learn of a start,
+/// and short compared with the time until the caller's deadline.
+static constexpr Duration CopyStartSpread = std::chrono::milliseconds(200);
 
-/// The endpoint cut the attempt under way. Whether it has ended is asked before
-/// the request goes anywhere else: an answer that was cut alone says nothing.
-void DirectNode::noteCut(const CallState &call, TimePoint now) {
+/// Handles an endpoint that closed the connection of the current attempt early.
+/// A cut connection alone does not prove a crash, so the endpoint's fate is
+/// checked before the request is sent to another endpoint.
+void DirectNode::handleCutConnection(const CallState &call, TimePoint now) {
   const EndpointState *state = Book.find(*call.Current);
   bool isPlanned = !state || state->Record.IsLeaving || state->IsMissing;
   if (isPlanned || call.Request.Digest == RequestDigest())
     return;
   CutRun run{call.Request.Digest, call.Request.Label, call.Service,
              now - call.SentAt};
-  LifeDigest life = digestLife(*call.Current);
-  if (std::optional<TimePoint> ended = Crashes.endOf(life)) {
+  LifeDigest incarnation = digestLife(*call.Current);
+  if (std::optional<TimePoint> ended = Crashes.endOf(incarnation)) {
     if (call.SentAt < *ended)
-      noteCrash(*call.Current, run, now);
+      recordCrash(*call.Current, run, now);
     return;
   }
   auto [it, isNew] = Checks.try_emplace(*call.Current);
@@ -46,16 +48,16 @@
   std::vector<CutRun> runs = std::move(it->second);
   Checks.erase(it);
   if (fate == EndpointFate::Ended) {
-    leaveGroupOf(id, now);
+    closeGroupOf(id, now);
     for (const CutRun &run : runs)
-      noteCrash(id, run, now);
+      recordCrash(id, run, now);
   }
   startWaiting(now);
   return takeActions();
 }
 
-void DirectNode::noteCrash(const EndpointId &id, const CutRun &run,
-                           TimePoint now) {
+void DirectNode::recordCrash(const EndpointId &id, const CutRun &run,
+                             TimePoint now) {
   std::size_t endpoints = Picker.countEndpoints(run.Service);
   Crashes.onCrash(run.Request, digestLife(id), run.Ran, endpoints, now);
   CrashNotes.push_back({run.Request, run.Label, id, run.Ran,
@@ -64,23 +66,25 @@
                         Crashes.standingOf(run.Request), false});
 }
 
-void DirectNode::judgeCrashes(TimePoint now) {
+void DirectNode::evaluateCrashes(TimePoint now) {
   for (RequestDigest it : Crashes.judge(now))
     quarantine(it, false, now);
 }
 
-void DirectNode::quarantine(RequestDigest request, bool isTold, TimePoint now) {
+void DirectNode::quarantine(RequestDigest request, bool isFromPeer,
+                            TimePoint now) {
   CrashNotes.push_back(
       {request, "", EndpointId(), Duration(), Crashes.crashesOf(request),
-       Crashes.chanceOf(request, now), CrashStanding::Quarantined, isTold});
+       Crashes.chanceOf(request, now), CrashStanding::Quarantined, isFromPeer});
   endQuarantined(request, now);
 }
 
-/// All ranks of a group stand still when one of them has ended, and cut what
-/// they run after a second or two. What is sent there meanwhile would wait as
-/// long to be refused; what runs there can go on elsewhere now.
-void DirectNode::leaveGroupOf(const EndpointId &id, TimePoint now) {
-  for (const EndpointId &member : Book.onLifeEnded(id, now))
+/// When one rank of a group has exited, the other ranks stall and cut their
+/// running requests after a second or two. A request sent there meanwhile would
+/// wait as long for its rejection, while those that run there can be migrated
+/// now.
+void DirectNode::closeGroupOf(const EndpointId &id, TimePoint now) {
+  for (const EndpointId &member : Book.onIncarnationEnded(id, now))
     for (auto &[callId, call] : Calls) {
       bool isThere = call.Current == member && member != id;
       if (isThere && call.Request.Route->canResume() &&
@@ -89,12 +93,14 @@
     }
 }
 
-/// Ends that another entry saw a moment ago.
-void DirectNode::noteToldEnds(const CrashReport &report, TimePoint now) {
+/// Handles endpoint crashes that another entry saw within the last \c
+/// CrashedGroupDelay.
+void DirectNode::handleReportedCrashes(const CrashReport &report,
+                                       TimePoint now) {
   std::set<LifeDigest> fresh;
   for (const CrashRow &row : report.Rows)
     for (const CrashTold &it : row.Crashes)
-      if (it.Age < EndpointBook::BrokenPause && !Crashes.endOf(it.Life))
+      if (it.Age < EndpointBook::CrashedGroupDelay && !Crashes.endOf(it.Life))
         fresh.insert(it.Life);
   if (fresh.empty())
     return;
@@ -103,13 +109,13 @@
     if (fresh.contains(state.Life))
       ended.push_back(id);
   for (const EndpointId &it : ended)
-    leaveGroupOf(it, now);
+    closeGroupOf(it, now);
 }
 
 DirectActions DirectNode::onCrashReport(const std::string &peer,
                                         const CrashReport &report,
                                         TimePoint now) {
-  noteToldEnds(report, now);
+  handleReportedCrashes(report, now);
   for (RequestDigest it : Crashes.merge(peer, report, now))
     quarantine(it, true, now);
   startWaiting(now);
@@ -133,7 +139,7 @@
   for (const auto &[id, call] : Calls) {
     bool isSuspect = call.Current && Crashes.standingOf(call.Request.Digest) ==
                                          CrashStanding::Suspect;
-    if (isSuspect && out.Runs.size() < MaxToldRuns)
+    if (isSuspect && out.Runs.size() < MaxReportedRuns)
       out.Runs.push_back({call.Request.Digest, digestLife(*call.Current)});
   }
   return out;
@@ -143,30 +149,33 @@
   return Crashes.standingOf(call.Request.Digest) == CrashStanding::Suspect;
 }
 
-/// The endpoint for a suspect; null if there is none or it is not its turn. A
-/// group that opens wakes the copies of a request at all entries at the same
-/// moment; their turns are drawn apart, so that the first one's is heard of
-/// before the next begins.
+/// Returns the endpoint for a suspect request; null if there is none or the
+/// request's start time has not come. When a group becomes available, the
+/// copies of a request wake up at all entries at the same moment. Random start
+/// times let the other entries learn of the first start before the next copy
+/// starts.
 const EndpointState *DirectNode::pickForSuspect(CallState &call,
                                                 TimePoint now) {
-  bool isPressing = Crashes.crashesOf(call.Request.Digest) > 1;
-  const EndpointState *state =
-      Picker.pickApart(call, livesOfSuspects(call, now), isPressing, now);
+  bool hasSeveralCrashes = Crashes.crashesOf(call.Request.Digest) > 1;
+  const EndpointState *state = Picker.pickIsolated(
+      call, incarnationsOfSuspects(call, now), hasSeveralCrashes, now);
   if (!state)
-    call.TurnAt.reset();
-  if (!state || !isPressing)
+    call.CopyStartAt.reset();
+  if (!state || !hasSeveralCrashes)
     return state;
-  if (!call.TurnAt) {
-    std::uniform_int_distribution<Duration::rep> turn(0, TurnSpread.count());
-    call.TurnAt = now + Duration(turn(Random));
+  if (!call.CopyStartAt) {
+    std::uniform_int_distribution<Duration::rep> turn(0,
+                                                      CopyStartSpread.count());
+    call.CopyStartAt = now + Duration(turn(Random));
   }
-  return now < *call.TurnAt ? nullptr : state;
+  return now < *call.CopyStartAt ? nullptr : state;
 }
 
-/// Whether the call has to wait though there may be room: what became of its
-/// last endpoint is being asked or judged, or it is a suspect that runs
-/// already. One at a time, so that no more endpoints end than it takes to know.
-bool DirectNode::mustStandBack(const CallState &call, TimePoint now) const {
+/// Whether the call has to wait though there may be capacity: the fate of its
+/// last endpoint is still being checked or evaluated, or the request is suspect
+/// and already running. Only one copy of a suspect request runs at a time, so
+/// that no more endpoints crash than are needed for a verdict.
+bool DirectNode::mustDefer(const CallState &call, TimePoint now) const {
   RequestDigest request = call.Request.Digest;
   for (const auto &[id, runs] : Checks)
     if (std::any_of(runs.begin(), runs.end(),
@@ -182,10 +191,11 @@
   return runsHere || Crashes.runsElsewhere(request, now);
 }
 
-/// The endpoints at which suspects other than \p call's request run: a second
-/// one there could not be told from the first if the endpoint ended.
-std::set<LifeDigest> DirectNode::livesOfSuspects(const CallState &call,
-                                                 TimePoint now) const {
+/// Returns the endpoints that run suspect requests other than \p call's. If an
+/// endpoint crashed while running two suspects, the crash could not be
+/// attributed to either of them.
+std::set<LifeDigest> DirectNode::incarnationsOfSuspects(const CallState &call,
+                                                        TimePoint now) const {
   std::set<LifeDigest> out = Crashes.livesOfOthers(call.Request.Digest, now);
   for (const auto &[id, other] : Calls) {
     const EndpointState *state =
@@ -197,9 +207,9 @@
   return out;
 }
 
-/// Gives every call of \p request its final answer at once. What is under way
-/// may not have begun at its endpoint yet: it is stopped unless that would
-/// leave its caller in doubt.
+/// Ends every call of \p request at once. An attempt in progress may not have
+/// started at its endpoint yet, so the attempt is stopped unless that would
+/// leave its caller uncertain whether the request ran.
 void DirectNode::endQuarantined(RequestDigest request, TimePoint now) {
   std::vector<CallId> waiting;
   for (auto &[id, call] : Calls) {
--- a/lib/Direct/DirectPushback.cpp
+++ b/lib/Direct/DirectPushback.cpp
@@ -1,7 +1,8 @@
-//===- DirectPushback.cpp - endpoints that ask for less -------------------===//
+//===- DirectPushback.cpp - limits that endpoints ask for -----------------===//
 //
-// The part of DirectNode that keeps to what endpoints ask for in their answers,
-// and turns callers away at once when no endpoint can serve them in time.
+// The part of DirectNode that follows the rate limits, backoffs and draining
+// announcements in the endpoints' responses, and refuses callers at once when
+// no endpoint can serve them in time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,23 +13,25 @@
 
 using namespace ospreyspur;
 
-/// How often the members of the fleet are counted anew while they matter.
-static constexpr Duration MembersAge = std::chrono::milliseconds(200);
-/// Without a call for this long an entry counts as one without callers.
+/// Interval at which the members of the fleet are counted again while rate
+/// limits are in force.
+static constexpr Duration MembersMaxAge = std::chrono::milliseconds(200);
+/// An entry without a call for this long counts as having no callers.
 static constexpr Duration IdleAfter = std::chrono::seconds(3);
-/// Until all others have heard that an entry has callers again, and it has
-/// heard of those who got some at the same time.
+/// Time until all other entries know that this entry has callers again, and
+/// this entry knows of those that got callers at the same time.
 static constexpr Duration ActiveSettleTime = std::chrono::seconds(1);
-/// How long an entry that begins asks the others for what they know.
-static constexpr Duration NewTime = std::chrono::seconds(1);
-/// Bounds of the time after which a refused caller should come back, and the
-/// longest one where that is what endpoints asked for.
+/// How long a starting entry asks the others for the rate limits that they
+/// know.
+static constexpr Duration StartupQueryTime = std::chrono::seconds(1);
+/// Bounds of the time after which a refused caller should retry, and the upper
+/// bound where endpoints asked for the wait.
 static constexpr Duration MinRetryAfter = std::chrono::milliseconds(150);
 static constexpr Duration MaxRetryAfter = std::chrono::seconds(2);
-static constexpr Duration MaxAskedRetryAfter = std::chrono::seconds(10);
+static constexpr Duration MaxPushbackRetryAfter = std::chrono::seconds(10);
 
 void DirectNode::refreshMembers(TimePoint now) {
-  if (MembersAt && now - *MembersAt < MembersAge)
+  if (MembersAt && now - *MembersAt < MembersMaxAge)
     return;
   MembersAt = now;
   FleetMembers members;
@@ -47,7 +50,7 @@
 }
 
 bool DirectNode::isNew(TimePoint now) const {
-  return Begin && now - *Begin < NewTime;
+  return Begin && now - *Begin < StartupQueryTime;
 }
 
 DirectActions DirectNode::onPushback(const EndpointId &id,
@@ -64,12 +67,12 @@
   bool mayLift = sentAt && asked.Malformed.empty();
   if (asked.RequestsPerSecond || (mayLift && Rates.isKnown(state->Life))) {
     refreshMembers(now);
-    // Without a time it can make a limit stricter only.
+    // Without a send time the response can only lower a limit.
     Rates.onAnswer(state->Life, asked.RequestsPerSecond,
                    sentAt.value_or(TimePoint()), now);
   }
   if (asked.Rest || asked.IsLeaving || Rates.hasNotes())
-    onLessRoom(now);
+    onLimitsChanged(now);
   return takeActions();
 }
 
@@ -78,29 +81,30 @@
   if (rows.empty())
     return takeActions();
   refreshMembers(now);
-  auto isKnown = [this](LifeDigest life) {
-    return Book.findLife(life) != nullptr;
+  auto isKnown = [this](LifeDigest incarnation) {
+    return Book.findLife(incarnation) != nullptr;
   };
   Rates.merge(rows, isKnown, now);
   if (Rates.hasNotes())
-    onLessRoom(now);
+    onLimitsChanged(now);
   return takeActions();
 }
 
-DirectActions DirectNode::onLeaving(const std::vector<LifeDigest> &lives,
+DirectActions DirectNode::onLeaving(const std::vector<LifeDigest> &incarnations,
                                     TimePoint now) {
-  for (LifeDigest it : lives)
+  for (LifeDigest it : incarnations)
     if (Book.findLife(it))
       Closed.onLeaving(it, true, now);
   return takeActions();
 }
 
-/// What endpoints take has changed, mostly to less.
-void DirectNode::onLessRoom(TimePoint now) {
+/// Serves and ends waiting calls after the limits of endpoints changed, usually
+/// to lower values.
+void DirectNode::onLimitsChanged(TimePoint now) {
   if (Waiting.empty())
     return;
   startWaiting(now);
-  endHopeless(now);
+  endUnservable(now);
 }
 
 bool DirectNode::maySend(CallId id, TimePoint now) {
@@ -111,9 +115,9 @@
   const EndpointState *state = Book.find(*call.Current);
   if (state && isClosed(*state, now))
     return false;
-  if (!state || call.IsCounted)
+  if (!state || call.IsCharged)
     return true;
-  call.IsCounted = Rates.isLimited(state->Life);
+  call.IsCharged = Rates.isLimited(state->Life);
   return Rates.take(state->Life, now);
 }
 
@@ -128,9 +132,11 @@
   return state && Closed.isResting(state->Life, now);
 }
 
-/// What keeps the call from each endpoint that it may go to, if that is what
-/// the endpoints asked for; else Ok.
-ResultCode DirectNode::heldBackBy(const CallState &call, TimePoint now) const {
+/// Returns why the call is held back if every endpoint that it may use is
+/// excluded by a rate limit or a backoff that the endpoint asked for; otherwise
+/// Ok.
+ResultCode DirectNode::pushbackReason(const CallState &call,
+                                      TimePoint now) const {
   bool isNoneAsked = Rates.limitedCount() == 0 && Closed.isEmpty();
   if (isNoneAsked || call.HasBegun)
     return ResultCode::Ok;
@@ -149,10 +155,11 @@
                                         : ResultCode::Ok;
 }
 
-/// Whether such a call cannot be started before its wait ends: the pauses last
-/// longer, and what this entry may send by then is spoken for.
-bool DirectNode::isHopeless(const CallState &call, TimePoint now) const {
-  if (heldBackBy(call, now) == ResultCode::Ok)
+/// Whether a call held back by its endpoints' requests cannot be started before
+/// its wait ends: the backoffs last longer, and what this entry may send by
+/// then is used up by the calls that wait.
+bool DirectNode::isUnservable(const CallState &call, TimePoint now) const {
+  if (pushbackReason(call, now) == ResultCode::Ok)
     return false;
   TimePoint until = call.waitLimit();
   double room = 0;
@@ -169,57 +176,63 @@
   return double(waitingFor(call.Service) + (waits ? 0 : 1)) > room;
 }
 
-/// Of those who wait the last ones go first.
-void DirectNode::endHopeless(TimePoint now) {
+/// Ends the waiting calls that cannot be served in time, the last in the queue
+/// first.
+void DirectNode::endUnservable(TimePoint now) {
   if (Rates.limitedCount() == 0 && Closed.isEmpty())
     return;
   std::vector<CallId> waiting;
   for (const auto &[priority, arrived, id] : Waiting)
     waiting.push_back(id);
   for (auto it = waiting.rbegin(); it != waiting.rend(); ++it)
-    if (CallState &call = Calls.at(*it); isHopeless(call, now))
+    if (CallState &call = Calls.at(*it); isUnservable(call, now))
       endNotRun(call, ResultCode::NoEndpoint, now);
 }
 
-/// When a refused caller may find room: the calls that wait before it, at the
-/// rate at which a full fleet of that service gets free.
-Duration DirectNode::expectedDrain(const CallState &call, TimePoint now) const {
+/// Returns when a refused caller may find capacity: the time to serve all
+/// waiting calls, at the rate at which a fully loaded service completes
+/// requests.
+Duration DirectNode::expectedQueueDelay(const CallState &call,
+                                        TimePoint now) const {
   unsigned running = 0;
   for (const auto &[id, state] : Book.states())
     if (state.Record.Service == call.Service)
       running += Book.totalLoad(state, now).Running;
   if (running == 0)
     return MinRetryAfter;
-  // A request takes a second or two at an engine; its target is the only
-  // figure at hand that scales with it.
+  // A request runs for a second or two at an engine. The route's latency target
+  // is the only available figure that scales with this time.
   Duration each = call.Request.Route->Target * 4 / running;
   auto n = static_cast<std::int64_t>(Waiting.size() + 1);
   return std::clamp(each * n, MinRetryAfter, MaxRetryAfter);
 }
 
-/// When a caller whom no endpoint can serve now should return, so that callers
-/// who were turned away together do not return together: around the time in
-/// which this entry's part of the named rates takes those who come, or past the
-/// end of the first pause.
-Duration DirectNode::expectedRoom(const CallState &call, TimePoint now) {
+/// Returns when a caller that no endpoint can serve now should retry. The time
+/// is drawn at random, so that callers that were refused together do not return
+/// together: around the time that this entry's share of the advertised rates
+/// takes to serve them, or after the end of the first backoff.
+Duration DirectNode::expectedCapacityDelay(const CallState &call,
+                                           TimePoint now) {
   double rate = 0;
   for (const EndpointState *it : Picker.statesOf(call.Service))
     if (Rates.isLimited(it->Life) && !isClosed(*it, now))
       rate += std::max(Rates.namedRate(it->Life), RateLimits::MinPerSecond);
   if (rate == 0)
-    return expectedRestEnd(call, now);
+    return expectedBackoffDelay(call, now);
   double own = rate / double(Rates.memberCount());
-  // Each of the others who were turned away lately wants a turn, too.
+  // The other callers that were recently refused need to be served as well.
   double ahead = std::max(1.0, Arrivals.perSecond(call.Service, now));
   auto mean = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(ahead / own));
-  mean = std::clamp(mean, 2 * MinRetryAfter, MaxAskedRetryAfter);
-  return draw(mean / 2, mean * 3 / 2);
+  mean = std::clamp(mean, 2 * MinRetryAfter, MaxPushbackRetryAfter);
+  return drawUniform(mean / 2, mean * 3 / 2);
 }
 
-/// Spread over what the endpoints whose pauses end first need for those who
-/// will have been turned away by then.
-Duration DirectNode::expectedRestEnd(const CallState &call, TimePoint now) {
+/// Returns a random time after the first backoff ends, spread over the time
+/// that the endpoints need to serve the callers that will have been refused by
+/// then.
+Duration DirectNode::expectedBackoffDelay(const CallState &call,
+                                          TimePoint now) {
   std::optional<TimePoint> first;
   unsigned slots = 0;
   for (const EndpointState *it : Picker.statesOf(call.Service)) {
@@ -230,22 +243,22 @@
     slots += it->Record.Slots;
   }
   Duration left = first ? *first - now : Duration::zero();
-  double turnedAway = Arrivals.perSecond(call.Service, now) *
-                      std::chrono::duration<double>(left).count();
-  // A request takes a second or two at an engine; its target is the only figure
-  // at hand that scales with it.
+  double rejected = Arrivals.perSecond(call.Service, now) *
+                    std::chrono::duration<double>(left).count();
+  // A request runs for a second or two at an engine. The route's latency target
+  // is the only available figure that scales with this time.
   double each =
       std::chrono::duration<double>(call.Request.Route->Target).count();
   double entries = double(Book.livePeers(now) + 1);
   auto spread =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
-          turnedAway * 4 * each * entries / std::max(1U, slots)));
+          rejected * 4 * each * entries / std::max(1U, slots)));
   spread = std::clamp(spread, std::max<Duration>(2 * MinRetryAfter, left / 4),
-                      MaxAskedRetryAfter);
-  return left + draw(Duration::zero(), spread);
+                      MaxPushbackRetryAfter);
+  return left + drawUniform(Duration::zero(), spread);
 }
 
-Duration DirectNode::draw(Duration least, Duration most) {
+Duration DirectNode::drawUniform(Duration least, Duration most) {
   std::uniform_int_distribution<Duration::rep> spread(least.count(),
                                                       most.count());
   return Duration(spread(Random));
--- a/lib/Direct/EventCutter.cpp
+++ b/lib/Direct/EventCutter.cpp
@@ -1,4 +1,4 @@
-//===- EventCutter.cpp - whole events out of a stream of bytes ------------===//
+//===- EventCutter.cpp - splits a byte stream into events -----------------===//
 //
 // An event ends with an empty line. Lines end with LF or CR LF.
 //
@@ -8,7 +8,7 @@
 
 using namespace ospreyspur;
 
-/// The length of the whole events that \p text begins with.
+/// Returns the length of the complete events at the start of \p text.
 static std::size_t wholeLength(std::string_view text) {
   std::size_t lf = text.rfind("\n\n");
   std::size_t crlf = text.rfind("\n\r\n");
@@ -19,15 +19,15 @@
 }
 
 std::string EventCutter::add(std::string_view data) {
-  Rest.append(data);
-  std::size_t n = wholeLength(Rest);
-  std::string whole = Rest.substr(0, n);
-  Rest.erase(0, n);
-  noteIds(whole);
+  Incomplete.append(data);
+  std::size_t n = wholeLength(Incomplete);
+  std::string whole = Incomplete.substr(0, n);
+  Incomplete.erase(0, n);
+  recordIds(whole);
   return whole;
 }
 
-void EventCutter::noteIds(std::string_view events) {
+void EventCutter::recordIds(std::string_view events) {
   constexpr std::string_view Field = "id:";
   while (!events.empty()) {
     std::size_t end = events.find('\n');
--- a/unittests/Direct/ManyEntriesTest.cpp
+++ b/unittests/Direct/ManyEntriesTest.cpp
@@ -1,11 +1,11 @@
-//===- ManyEntriesTest.cpp - many entries before many endpoints -----------===//
+//===- ManyEntriesTest.cpp - many entries with many endpoints -------------===//
 //
-// Each entry hears of the others' load some milliseconds late. In that time
-// they must not all send to the endpoint that looks the least loaded.
+// Each entry learns of the others' load some milliseconds late. In that time
+// the entries must not all send to the endpoint with the lowest reported load.
 //
 //===----------------------------------------------------------------------===//
 
-#include "Direct/NodeWorld.h"
+#include "Direct/NodeFixture.h"
 #include "RandomScheduler.h"
 
 #include <doctest/doctest.h>
@@ -19,11 +19,11 @@
 
 namespace {
 /// Entries, endpoints of one service, and steady arrivals on virtual time.
-class CrowdWorld {
+class LoadSimulation {
 public:
   static constexpr unsigned Slots = 6;
 
-  CrowdWorld(unsigned entries, unsigned endpoints, double perSecond)
+  LoadSimulation(unsigned entries, unsigned endpoints, double perSecond)
       : Time(1, 0), Route(::test::makeRoute(RequestKind::Repeatable, 2)),
         Each(seconds(1) / perSecond) {
     auto config = std::make_shared<FleetConfig>();
@@ -56,8 +56,8 @@
   void run(Duration length) { Time.runUntil(Time.now() + length); }
 
   unsigned requests() const { return Requests; }
-  /// Requests that came to an endpoint without room.
-  unsigned crowded() const { return Crowded; }
+  /// Requests that arrived at an endpoint without a free slot.
+  unsigned overloaded() const { return Overloaded; }
 
 private:
   void at(Duration after, std::function<void()> what) {
@@ -85,7 +85,7 @@
     if (!started)
       return;
     EndpointId endpoint = started->Endpoint.Id;
-    Crowded += ++Running[endpoint] > Slots ? 1 : 0;
+    Overloaded += ++Running[endpoint] > Slots ? 1 : 0;
     at(milliseconds(180),
        [this, entry, id] { Nodes[entry]->onFirstByte(id, Time.now()); });
     at(milliseconds(500) + Duration(Time.below(2000000)),
@@ -95,7 +95,7 @@
        });
   }
 
-  /// Tells the others what the entry has, as LoadExchange does.
+  /// Reports the entry's load to the others, as LoadExchange does.
   void report(unsigned entry) {
     std::vector<EndpointLoad> loads = Nodes[entry]->book().ownLoads(Time.now());
     at(milliseconds(4), [this, entry, loads] {
@@ -113,23 +113,25 @@
   std::vector<std::unique_ptr<DirectNode>> Nodes;
   std::map<EndpointId, unsigned> Running;
   unsigned Requests = 0;
-  unsigned Crowded = 0;
+  unsigned Overloaded = 0;
 };
 } // namespace
 
-TEST_CASE("many entries do not crowd the endpoint that looks least loaded") {
-  // Two thirds of the places are in use.
-  CrowdWorld large(52, 192, 500);
+TEST_CASE(
+    "many entries do not crowd the endpoint with the lowest reported load") {
+  // Two thirds of the slots are in use.
+  LoadSimulation large(52, 192, 500);
   large.run(seconds(5));
   CHECK(large.requests() > 2000);
-  CHECK(large.crowded() * 500 <= large.requests());
-  CrowdWorld small(5, 16, 42);
+  CHECK(large.overloaded() * 500 <= large.requests());
+  LoadSimulation small(5, 16, 42);
   small.run(seconds(20));
   CHECK(small.requests() > 700);
-  CHECK(small.crowded() * 100 <= small.requests());
+  CHECK(small.overloaded() * 100 <= small.requests());
 }
 
-TEST_CASE("all entries together ask a slow group's endpoints once a second") {
+TEST_CASE(
+    "all entries together query a slow group's endpoints once per second") {
   constexpr unsigned Entries = 52;
   constexpr unsigned Endpoints = 96;
   std::vector<ListedEndpoint> listed;
@@ -157,7 +159,7 @@
   for (unsigned tick = 0; tick < 100; ++tick, now += milliseconds(100)) {
     for (EndpointBook &it : books) {
       it.onEvents(listed.front().Record.Id, milliseconds(500), now);
-      for (const EndpointRecord &question : it.takePaceQuestions(
+      for (const EndpointRecord &question : it.takeSlowdownQueries(
                [](const EndpointState &) { return true; }, now, random)) {
         ++asked;
         it.onTold(question.Id, slow, now);
@@ -170,11 +172,11 @@
           books[to].setPeerLoad("n" + std::to_string(from), loads, now);
     }
     for (const auto &[id, state] : books.back().states())
-      known += EndpointBook::paceOf(state, now) > 1 ? 1 : 0;
+      known += EndpointBook::slowdownOf(state, now) > 1 ? 1 : 0;
   }
-  // Ten seconds: about one question a second and endpoint, where each entry
-  // for itself would ask 50,000.
+  // In ten seconds, about one query per second and endpoint. If each entry
+  // queried on its own, there would be 50,000.
   CHECK(asked < Endpoints * 10 * 3 / 2);
-  // Every entry knows of most slow endpoints at any time.
+  // Every entry knows the slowdown factors of most slow endpoints at any time.
   CHECK(known > Endpoints * 100 * 3 / 4);
 }
--- a/unittests/Direct/NodeWorld.h
+++ b/unittests/Direct/NodeFixture.h
@@ -1,11 +1,11 @@
-//===- NodeWorld.h - a DirectNode before endpoints --------------*- C++ -*-===//
+//===- NodeFixture.h - fixture for tests of DirectNode ----------*- C++ -*-===//
 //
-// What the tests of DirectNode have in common.
+// Shared fixture and helpers of the tests of DirectNode.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_DIRECT_NODEWORLD_H
-#define OSPREYSPUR_UNITTESTS_DIRECT_NODEWORLD_H
+#ifndef OSPREYSPUR_UNITTESTS_DIRECT_NODEFIXTURE_H
+#define OSPREYSPUR_UNITTESTS_DIRECT_NODEFIXTURE_H
 
 #include "ospreyspur/Direct/DirectNode.h"
 
@@ -21,12 +21,12 @@
 
 using namespace ospreyspur;
 
-/// A node before some endpoints of one service.
-class NodeWorld {
+/// A DirectNode with some endpoints of one service.
+class NodeFixture {
 public:
-  /// \p seed decides between endpoints that are alike.
-  explicit NodeWorld(unsigned endpoints, RouteRule rule = RouteRule(),
-                     std::uint64_t seed = 1)
+  /// \p seed decides between equally good endpoints.
+  explicit NodeFixture(unsigned endpoints, RouteRule rule = RouteRule(),
+                       std::uint64_t seed = 1)
       : Node(DataCentreId("a"), DirectLimits(), seed) {
     auto config = std::make_shared<FleetConfig>();
     rule.Services = {{ServiceId("s"), 1}};
@@ -60,8 +60,9 @@
     return Node.onCall(std::move(request), Now);
   }
 
-  /// Has \p n endpoints answer a request each.
-  void prove(unsigned n) {
+  /// Lets \p n endpoints complete one request each, so that they count as known
+  /// to serve.
+  void proveServing(unsigned n) {
     for (unsigned i = 0; i < n; ++i)
       call(100 + i);
     for (unsigned i = 0; i < n; ++i)
@@ -93,7 +94,7 @@
   return actions.size() == 1 ? std::get_if<T>(&actions.front()) : nullptr;
 }
 
-/// The first action of the kind; null if there is none.
+/// Returns the first action of type \p T; null if there is none.
 template <typename T> const T *find(const DirectActions &actions) {
   for (const DirectAction &it : actions)
     if (const auto *out = std::get_if<T>(&it))
@@ -112,24 +113,25 @@
       [](const DirectAction &it) { return std::holds_alternative<T>(it); });
 }
 
-/// Fills two endpoints of two places and breaks the first stream off.
-inline std::uint64_t breakOffWithoutRoom(NodeWorld &world) {
-  DirectActions first = world.call(1);
+/// Fills two endpoints of two slots each and breaks the first stream off.
+/// Returns a call that runs at the endpoint that did not run the first stream.
+inline std::uint64_t breakOffWithoutCapacity(NodeFixture &fixture) {
+  DirectActions first = fixture.call(1);
   REQUIRE(only<StartAttempt>(first));
   std::uint64_t onOther = 0;
   for (std::uint64_t id = 2; id <= 4; ++id) {
-    DirectActions next = world.call(id);
+    DirectActions next = fixture.call(id);
     REQUIRE(only<StartAttempt>(next));
     if (only<StartAttempt>(next)->Endpoint.Id !=
         only<StartAttempt>(first)->Endpoint.Id)
       onOther = id;
   }
-  world.Node.onFirstByte(CallId(1), world.Now);
-  CHECK(world.end(1, AttemptEnd::BrokeOff).empty());
-  CHECK(world.Node.waitingCount() == 1);
+  fixture.Node.onFirstByte(CallId(1), fixture.Now);
+  CHECK(fixture.end(1, AttemptEnd::BrokeOff).empty());
+  CHECK(fixture.Node.waitingCount() == 1);
   return onOther;
 }
 
 } // namespace test
 
-#endif // OSPREYSPUR_UNITTESTS_DIRECT_NODEWORLD_H
+#endif // OSPREYSPUR_UNITTESTS_DIRECT_NODEFIXTURE_H
--- a/unittests/Direct/SharedBoundTest.cpp
+++ b/unittests/Direct/SharedRetryBudgetTest.cpp
@@ -1,14 +1,14 @@
-//===- SharedBoundTest.cpp - repeats of all entries together --------------===//
+//===- SharedRetryBudgetTest.cpp - retry budget of all entries together ---===//
 //
-// Entries on virtual time before endpoints that lose whatever they get, so that
-// each entry repeats as often as it may. Seen: with the store away and entries
-// killed, the fleet sent more repeats than all entries together may. Cause: an
-// entry that began anew took a full share again, for as many entries as it
-// heard of.
+// Entries on virtual time with endpoints that lose every request, so that each
+// entry retries as often as it may. Guards against retries beyond the limit for
+// all entries together: with the store unavailable and entries killed, each
+// restarted entry used a full share again, based on the number of entries that
+// it had received reports from.
 //
 //===----------------------------------------------------------------------===//
 
-#include "Direct/NodeWorld.h"
+#include "Direct/NodeFixture.h"
 #include "RandomScheduler.h"
 
 #include <doctest/doctest.h>
@@ -29,9 +29,9 @@
 constexpr unsigned Endpoints = 40;
 constexpr unsigned RequestsPerSecond = 100;
 
-class LossyFleet {
+class RetryLimitSimulation {
 public:
-  explicit LossyFleet(std::uint64_t seed) : Time(seed, 0) {
+  explicit RetryLimitSimulation(std::uint64_t seed) : Time(seed, 0) {
     auto config = std::make_shared<FleetConfig>();
     RouteRule route = makeRoute(RequestKind::Repeatable, 4);
     route.Services = {{ServiceId("s"), 1}};
@@ -58,7 +58,7 @@
   void freeze(unsigned i, Duration span) {
     Nodes[i].FrozenUntil = Time.now() + span;
   }
-  /// The store lists nobody to entries that begin, until it is back.
+  /// The store lists no entries to starting entries until it is back.
   void setStoreOut(Duration span) {
     StoreOutUntil = Time.now() + span;
     Time.at(StoreOutUntil, [this] {
@@ -67,7 +67,7 @@
           list(i);
     });
   }
-  /// The entry ends, and another life of it begins.
+  /// Kills the entry; a new incarnation of it starts later.
   void kill(unsigned i) {
     ++Nodes[i].Life;
     Nodes[i].Node.reset();
@@ -77,8 +77,9 @@
     });
   }
 
-  std::size_t repeats() const { return RepeatTimes.size(); }
-  /// Repeats in a window above what all entries together may send, at worst.
+  std::size_t retries() const { return RetryTimes.size(); }
+  /// Returns the largest excess of retries in a window over what all entries
+  /// together may send.
   double worstExcess() const {
     const RetryBounds bounds;
     auto countIn = [](const std::vector<TimePoint> &times, TimePoint from,
@@ -87,11 +88,11 @@
                     std::upper_bound(times.begin(), times.end(), from));
     };
     double worst = -bounds.Allowance;
-    for (TimePoint at : RepeatTimes) {
+    for (TimePoint at : RetryTimes) {
       TimePoint from = at - bounds.Window;
       double allowed =
           bounds.Ratio * countIn(RequestTimes, from, at) + bounds.Allowance;
-      worst = std::max(worst, countIn(RepeatTimes, from, at) - allowed);
+      worst = std::max(worst, countIn(RetryTimes, from, at) - allowed);
     }
     return worst;
   }
@@ -121,17 +122,17 @@
     Nodes[i].Node->setListedEntries(std::move(others), Time.now());
   }
 
-  bool isAwake(unsigned i, unsigned life) const {
+  bool isAwake(unsigned i, unsigned incarnation) const {
     const Entry &it = Nodes[i];
-    return it.Node && it.Life == life && Time.now() >= it.FrozenUntil;
+    return it.Node && it.Life == incarnation && Time.now() >= it.FrozenUntil;
   }
 
-  void report(unsigned i, unsigned life) {
-    if (Nodes[i].Life != life)
+  void report(unsigned i, unsigned incarnation) {
+    if (Nodes[i].Life != incarnation)
       return;
     Time.at(Time.now() + milliseconds(200),
-            [this, i, life] { report(i, life); });
-    if (!isAwake(i, life) || Time.now() < CutUntil)
+            [this, i, incarnation] { report(i, incarnation); });
+    if (!isAwake(i, incarnation) || Time.now() < CutUntil)
       return;
     for (unsigned k = 0; k < Entries; ++k)
       if (k != i)
@@ -163,17 +164,17 @@
       if (!started)
         continue;
       if (!Arrived.insert(started->Call).second)
-        RepeatTimes.push_back(Time.now());
+        RetryTimes.push_back(Time.now());
       lose(i, Nodes[i].Life, started->Call);
     }
   }
 
-  void lose(unsigned i, unsigned life, CallId id) {
-    Time.at(Time.now() + milliseconds(2), [this, i, life, id] {
-      if (Nodes[i].Life != life)
+  void lose(unsigned i, unsigned incarnation, CallId id) {
+    Time.at(Time.now() + milliseconds(2), [this, i, incarnation, id] {
+      if (Nodes[i].Life != incarnation)
         return;
-      if (!isAwake(i, life)) {
-        lose(i, life, id);
+      if (!isAwake(i, incarnation)) {
+        lose(i, incarnation, id);
         return;
       }
       take(i, Nodes[i].Node->onAttemptEnded(id, AttemptEnd::Lost, Time.now()));
@@ -185,7 +186,7 @@
   std::vector<ListedEndpoint> Listed;
   std::vector<Entry> Nodes;
   std::vector<TimePoint> RequestTimes;
-  std::vector<TimePoint> RepeatTimes;
+  std::vector<TimePoint> RetryTimes;
   std::set<CallId> Arrived;
   TimePoint CutUntil;
   TimePoint StoreOutUntil;
@@ -193,13 +194,13 @@
 };
 } // namespace
 
-TEST_CASE("the bound on repeats holds when half of the entries begin anew "
-          "without the store") {
+TEST_CASE("the retry limit holds when half of the entries restart without "
+          "the store") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    LossyFleet fleet(seed);
+    RetryLimitSimulation fleet(seed);
     fleet.run(seconds(22));
-    CHECK(fleet.repeats() > 100);
+    CHECK(fleet.retries() > 100);
     fleet.setStoreOut(seconds(12));
     fleet.run(seconds(5));
     for (unsigned i = 0; i < 3; ++i)
@@ -209,11 +210,11 @@
   }
 }
 
-TEST_CASE("the bound on repeats holds when entries begin anew one by one and "
-          "together") {
+TEST_CASE(
+    "the retry limit holds when entries restart one by one and together") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    LossyFleet fleet(seed);
+    RetryLimitSimulation fleet(seed);
     fleet.run(seconds(15));
     fleet.setStoreOut(seconds(14));
     for (unsigned i = 0; i < Entries; ++i) {
@@ -230,11 +231,11 @@
   }
 }
 
-TEST_CASE("the bound on repeats holds when all entries begin anew again and "
-          "again with the store at hand") {
+TEST_CASE("the retry limit holds when all entries restart repeatedly with "
+          "the store available") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    LossyFleet fleet(seed);
+    RetryLimitSimulation fleet(seed);
     fleet.run(seconds(15));
     for (unsigned n = 0; n < 4; ++n) {
       for (unsigned i = 0; i < Entries; ++i)
@@ -246,11 +247,11 @@
   }
 }
 
-TEST_CASE("the bound on repeats holds when entries are cut from each other, "
+TEST_CASE("the retry limit holds when entries are cut from each other, "
           "frozen and killed") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
-    LossyFleet fleet(seed);
+    RetryLimitSimulation fleet(seed);
     fleet.run(seconds(15));
     fleet.setStoreOut(seconds(20));
     fleet.cutReports(seconds(16));
@@ -264,8 +265,8 @@
   }
 }
 
-TEST_CASE("an entry that does not know how many there are spends nothing of "
-          "the allowance") {
+TEST_CASE("an entry that does not know the number of entries uses nothing of "
+          "the shared allowance") {
   RetryWindow window({0.2, 90, Duration(seconds(10))});
   TimePoint now{seconds(100)};
   ServiceId service("s");
--- a/unittests/Direct/TwoGroupWorld.h
+++ b/unittests/Direct/TwoGroupFixture.h
@@ -1,24 +1,24 @@
-//===- TwoGroupWorld.h - a DirectNode before two groups ---------*- C++ -*-===//
+//===- TwoGroupFixture.h - fixture with two groups of endpoints -*- C++ -*-===//
 //
-// What the tests of streams in groups have in common.
+// Shared fixture of the tests of streams in groups.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPWORLD_H
-#define OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPWORLD_H
+#ifndef OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPFIXTURE_H
+#define OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPFIXTURE_H
 
-#include "Direct/NodeWorld.h"
+#include "Direct/NodeFixture.h"
 
 #include <array>
 
 namespace test {
 
-/// A node before two groups of two endpoints with four slots each. The first
-/// two calls go to different groups.
-class TwoGroupWorld : public NodeWorld {
+/// A DirectNode with two groups of two endpoints with four slots each. The
+/// first two calls go to different groups.
+class TwoGroupFixture : public NodeFixture {
 public:
-  TwoGroupWorld()
-      : NodeWorld(0, makeRoute(RequestKind::Stream, 2, true), Seed) {
+  TwoGroupFixture()
+      : NodeFixture(0, makeRoute(RequestKind::Stream, 2, true), Seed) {
     auto config = std::make_shared<FleetConfig>(*Config);
     EngineFigures &engine = *config->Services.at(ServiceId("s")).Engine;
     engine.UsualAnswer = 160;
@@ -39,15 +39,16 @@
 
   static constexpr std::uint64_t Seed = 2;
 
-  /// Starts call \p id. Returns its group, or nothing if it has to wait.
+  /// Starts call \p id. Returns its group, or an empty string if it has to
+  /// wait.
   std::string start(std::uint64_t id) {
     DirectActions actions = call(id);
     const auto *attempt = only<StartAttempt>(actions);
     return attempt ? attempt->Endpoint.Id.get().substr(0, 1) : "";
   }
 
-  /// Has calls 1 and 2, one in each group, write for three seconds, with
-  /// these pauses.
+  /// Lets calls 1 and 2, one in each group, receive events for three seconds
+  /// with these inter-event gaps.
   void write(Duration pauseOfFirst, Duration pauseOfSecond) {
     std::array<TimePoint, 2> last = {Now, Now};
     std::array<Duration, 2> pauses = {pauseOfFirst, pauseOfSecond};
@@ -66,4 +67,4 @@
 
 } // namespace test
 
-#endif // OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPWORLD_H
+#endif // OSPREYSPUR_UNITTESTS_DIRECT_TWOGROUPFIXTURE_H
