--- a/tools/ospreyspur/ospreyspur.cpp
+++ b/tools/ospreyspur/ospreyspur.cpp
@@ -1,6 +1,7 @@
-//===- ospreyspur.cpp - the one binary ------------------------------------===//
+//===- ospreyspur.cpp - command line of all processes ---------------------===//
 //
-// Chooses the role from the first argument and reads its settings file.
+// Runs the command that the first argument names: a process role with its
+// settings file, or a tool for operators.
 //
 //===----------------------------------------------------------------------===//
 
@@ -35,7 +36,7 @@
   return std::string(std::istreambuf_iterator<char>(is), {});
 }
 
-/// Reads \p path with \p read; prints every fault.
+/// Parses the settings file \p path with \p read and prints all errors.
 template <typename Read>
 static auto loadSettings(const std::string &path, Read read)
     -> std::optional<decltype(read(std::declval<SettingsReader &>()))> {
@@ -90,7 +91,7 @@
   return isGood ? 0 : 1;
 }
 
-/// Says why a role could not start, if so.
+/// Prints the error of a role that could not start; returns the exit status.
 static int exitStatus(const Result<void> &ended) {
   if (ended)
     return 0;
@@ -110,7 +111,8 @@
 
 static int run(const std::string &role, const std::string &path) {
   if (role == "direct" || role == "rank") {
-    // The platform reads standard output; the log must not wait for it.
+    // The platform reads standard output. LogWriter writes from a thread of its
+    // own, so that logging doesn't block when the platform reads slowly.
     LogWriter log(STDOUT_FILENO);
     FLAGS_logtostderr = false;
     FLAGS_stderrthreshold = google::NUM_SEVERITIES;
@@ -126,7 +128,7 @@
   return settings ? exitStatus(runAgent(*settings)) : 1;
 }
 
-/// The path on the command line, else the one in the environment.
+/// The path on the command line if given, else the one in the environment.
 static std::string settingsPath(const std::string &given) {
   const char *path = std::getenv("OSPREYSPUR_SETTINGS");
   return given.empty() && path ? path : given;
--- a/unittests/FakeKeyValue.h
+++ b/unittests/FakeKeyValue.h
@@ -1,7 +1,7 @@
-//===- FakeKeyValue.h - the platform's service on virtual time --*- C++ -*-===//
+//===- FakeKeyValue.h - in-memory key-value store ---------------*- C++ -*-===//
 //
-// Compare-and-swap and leases as the tests' worlds need them. Losing calls and
-// answers is the worlds' part.
+// Compare-and-swap and leases on virtual time. The simulations that use this
+// class drop calls and responses themselves.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,7 @@
 
 namespace ospreyspur::test {
 
-/// A key-value service without faults.
+/// A key-value store without faults.
 class FakeKeyValue {
 public:
   /// Performs \p call at \p now.
--- a/unittests/FreeAddress.h
+++ b/unittests/FreeAddress.h
@@ -1,6 +1,6 @@
 //===- FreeAddress.h - addresses for tests that listen ----------*- C++ -*-===//
 //
-// Tests may run side by side, so none has a port of its own.
+// Tests may run in parallel, so none uses a fixed port.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +12,7 @@
 
 namespace ospreyspur::test {
 
-/// An address on loopback that nobody listens on.
+/// A loopback address on which no process listens.
 inline boost::asio::ip::tcp::endpoint findFreeAddress() {
   using boost::asio::ip::tcp;
   boost::asio::io_context ioc;
--- a/unittests/RandomScheduler.h
+++ b/unittests/RandomScheduler.h
@@ -1,8 +1,8 @@
 //===- RandomScheduler.h - seeded events on virtual time --------*- C++ -*-===//
 //
-// Drives state machines through interleavings: every event happens after a
-// delay drawn from a seed, so that messages overtake one another. The same seed
-// gives the same run.
+// Drives state machines through random interleavings: each event runs after a
+// delay drawn from a seeded generator, so that messages are reordered. The same
+// seed gives the same run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,8 @@
 public:
   using Event = std::function<void()>;
 
-  /// \p latePercent of the events come up to 0.9 s late.
+  /// \p latePercent of the events are delayed by up to 0.9 s, the others by up
+  /// to 3 ms.
   RandomScheduler(std::uint64_t seed, unsigned latePercent)
       : Random(seed), LatePercent(latePercent) {}
 
@@ -33,26 +34,27 @@
 
   void setLatePercent(unsigned percent) { LatePercent = percent; }
 
-  /// True in \p percent of 100 draws.
+  /// True with a probability of \p percent / 100.
   bool chance(unsigned percent) { return below(100) < percent; }
 
-  /// A number from 0 to \p n - 1.
+  /// A random number from 0 to \p n - 1.
   std::uint64_t below(std::uint64_t n) {
     return std::uniform_int_distribution<std::uint64_t>(0, n - 1)(Random);
   }
 
-  /// Runs \p event at \p due, or now if that has passed.
+  /// Runs \p event at \p due, or immediately if \p due has passed.
   void at(TimePoint due, Event event) {
     Events.emplace(std::pair(std::max(due, Now), Random()), std::move(event));
   }
 
-  /// Runs \p event after a random delay, mostly short, at times long.
+  /// Runs \p event after a random delay, which is long for latePercent of the
+  /// events.
   void soon(Event event) {
     auto limit = chance(LatePercent) ? 900000U : 3000U;
     at(Now + Duration(below(limit)), std::move(event));
   }
 
-  /// Like soon(), but the event may be lost or happen twice.
+  /// Like soon(), but the event may be lost or may run twice.
   void unreliably(unsigned faultPercent, const Event &event) {
     if (!chance(faultPercent))
       soon(event);
@@ -60,7 +62,8 @@
       soon(event);
   }
 
-  /// Runs events until none is left or the time is past \p end.
+  /// Runs all events up to and including \p end, then advances the time to
+  /// \p end.
   void runUntil(TimePoint end) {
     while (!Events.empty() && Events.begin()->first.first <= end) {
       auto node = Events.extract(Events.begin());
--- a/unittests/main.cpp
+++ b/unittests/main.cpp
@@ -1,6 +1,6 @@
 //===- main.cpp - runs the unit tests -------------------------------------===//
 //
-// doctest's own main, in one place.
+// Defines doctest's main function for all unit tests.
 //
 //===----------------------------------------------------------------------===//
 
