--- a/test/standin/Crowd.cpp
+++ b/test/standin/Crowd.cpp
@@ -1,9 +1,9 @@
-//===- Crowd.cpp - callers who keep their connections ---------------------===//
+//===- Crowd.cpp - load generator with keep-alive connections -------------===//
 //
-// Each caller sends one request after the other on one connection, for as long
-// as the entry keeps it, also while that stops; only then does it connect
-// elsewhere, to an entry that says that it is ready. Every answer must be the
-// whole one to the caller's own request.
+// Each caller sends its requests in sequence on one connection until the entry
+// closes the connection, even while the entry is stopping. The caller then
+// connects to another entry that is ready. Every response must be complete and
+// belong to the caller's own request.
 //
 //===----------------------------------------------------------------------===//
 
@@ -57,7 +57,7 @@
 private:
   bool isOver() const { return std::chrono::steady_clock::now() >= End; }
 
-  /// One in sixteen callers sends nothing but the deadly body.
+  /// One caller in sixteen sends only requests with the deadly body.
   asio::awaitable<void> live(std::int64_t caller) {
     constexpr std::int64_t DeadlyOneIn = 16;
     bool isDeadly = Plan.HasDeadly && caller % DeadlyOneIn == 0;
@@ -99,7 +99,8 @@
     co_return !readError && response.result_int() == 200;
   }
 
-  /// One request. Returns whether the connection can be used on.
+  /// Sends one request and checks the response. Returns whether the connection
+  /// can be reused.
   asio::awaitable<bool> ask(beast::tcp_stream &stream, beast::flat_buffer &buf,
                             bool isDeadly) {
     std::string id =
@@ -109,7 +110,7 @@
     auto [writeError, sent] =
         co_await http::async_write(stream, request, AsTuple);
     if (writeError) {
-      // Closed while it rested.
+      // The entry closed the connection while it was idle.
       ++Outcomes["closed-at-rest"];
       co_return false;
     }
@@ -117,7 +118,8 @@
     auto [ec, n] = co_await http::async_read(stream, buf, parser, AsTuple);
     std::string kind = isDeadly ? "deadly-" : "";
     if (ec) {
-      // A close without a byte may have crossed the request.
+      // A connection that closes without any response byte may have been closed
+      // before the request arrived.
       bool isCut = parser.got_some() || ec == beast::error::timeout;
       ++Outcomes[kind + (isCut ? "cut" : "closed")];
       co_return false;
--- a/test/standin/Engine.cpp
+++ b/test/standin/Engine.cpp
@@ -1,7 +1,8 @@
-//===- Engine.cpp - stand-in engines that step together -------------------===//
+//===- Engine.cpp - fake model engines that step together -----------------===//
 //
-// Each engine batches its requests continuously: every step gives one token to
-// each. The text depends on the prompt alone, so that any engine can resume.
+// Each engine uses continuous batching: every step generates one token for each
+// request. The text depends only on the prompt, so that any engine can resume a
+// stream.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,7 +28,7 @@
 static constexpr double MaxStretch = 2;
 
 namespace {
-/// One request in an engine's batch.
+/// A request in an engine's batch.
 struct BatchItem {
   std::string Seed;
   std::int64_t Next = 0;
@@ -55,14 +56,16 @@
       co_await generate(exchange);
   }
 
-  /// Gives each request of the batch its next token and counts experts.
+  /// Generates the next token of each request in the batch and counts in
+  /// \p experts the tokens that each expert processes.
   void step(std::vector<std::uint32_t> &experts) {
     for (BatchItem &it : Batch) {
       if (it.Next == it.Count)
         continue;
       std::string digest = sha256Hex(it.Seed + std::to_string(it.Next++));
       std::string token = digest.substr(0, 6);
-      // Two tokens in three go to the topic's own expert.
+      // A digest ends in a digit for 10 of 16 tokens; these go to the expert of
+      // the request's topic, which loads the experts unevenly.
       bool isTopic = digest.back() < 'a';
       std::string expert = isTopic ? sha256Hex(it.Seed) : digest;
       ++experts[std::stoul(expert.substr(8, 4), nullptr, 16) % experts.size()];
@@ -141,7 +144,8 @@
 
 using Engines = std::vector<std::unique_ptr<Engine>>;
 
-/// Steps last longer the more unevenly the ranks are loaded.
+/// Runs the group's steps. The length of a step grows with the load imbalance
+/// of the ranks in the step before.
 static asio::awaitable<void> stepForever(Engines &engines, Fabric &fabric,
                                          std::int64_t stepMs) {
   double skew = 1;
--- a/test/standin/Fabric.h
+++ b/test/standin/Fabric.h
@@ -1,8 +1,8 @@
-//===- Fabric.h - the lock-step of a group's ranks --------------*- C++ -*-===//
+//===- Fabric.h - lock-step simulation of a group's ranks -------*- C++ -*-===//
 //
-// Ranks begin a step once all have begun the one before. Records the map of
-// each rank in each step, and makes a step as long as its most loaded rank
-// needs.
+// A rank begins a step once all ranks have begun the step before. Counts steps
+// in which ranks used different maps, and computes the load imbalance of each
+// step.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 namespace standin {
 
-/// One rank in the fabric.
+/// The state of one rank in the lock-step simulation.
 struct FabricRank {
   explicit FabricRank(bool checksFences) : Model(checksFences) {}
 
@@ -34,7 +34,7 @@
   std::vector<std::uint32_t> SlotTokens;
 };
 
-/// The group's fabric.
+/// The ranks of one group and their statistics.
 class Fabric {
 public:
   Fabric(std::size_t ranks, bool checksFences)
@@ -48,8 +48,8 @@
   double SkewSum = 0;
   double RecentSkew = 1;
 
-  /// Lets every rank begin its next step that may; true if all stand at the end
-  /// of the same step then.
+  /// Begins the next step on every rank that may start it. Returns true if all
+  /// ranks have begun the same step and that step is not finished yet.
   bool advance() {
     for (FabricRank &it : Ranks)
       begin(it);
@@ -59,7 +59,8 @@
     });
   }
 
-  /// Closes the present step, in which \p experts got tokens; gives its skew.
+  /// Finishes the current step, in which the experts processed \p experts
+  /// tokens each. Returns the step's skew.
   double finishStep(const std::vector<std::uint32_t> &experts) {
     LastWhole = Ranks[0].Begun.get();
     ++Steps;
@@ -97,7 +98,8 @@
                     it.BegunWith != rank.BegunWith;
   }
 
-  /// Shares the tokens out over the slots; highest rank load by the mean.
+  /// Distributes the tokens over the slots. Returns the highest rank load
+  /// divided by the mean rank load.
   double countTokens(const ExpertMap &map,
                      const std::vector<std::uint32_t> &experts) {
     const MapShape &shape = map.Shape;
--- a/test/standin/Load.cpp
+++ b/test/standin/Load.cpp
@@ -1,8 +1,8 @@
-//===- Load.cpp - stand-in for the callers --------------------------------===//
+//===- Load.cpp - open-loop load generator --------------------------------===//
 //
-// An open loop: requests leave by a schedule drawn from a seed, whatever became
-// of earlier ones. Four in five ask the model, the rest the plain service, half
-// of those with an idempotency key.
+// Requests are sent on a schedule drawn from a seed, regardless of the outcome
+// of earlier requests. Four in five go to the model, the others to the plain
+// service, half of these with an idempotency key.
 //
 //===----------------------------------------------------------------------===//
 
@@ -94,8 +94,9 @@
       record.Told = word;
 }
 
-/// Under an idempotency key a caller asks again, at another entry, until it is
-/// told for sure; each try has a record of its own.
+/// A request with an idempotency key is retried at the next entry until the
+/// response is complete, at most MaxTries attempts in all. Each attempt has its
+/// own record.
 static asio::awaitable<void> sendWithRetries(std::vector<HttpClient> &clients,
                                              std::size_t first,
                                              HttpRequest request,
@@ -116,12 +117,12 @@
 }
 
 namespace {
-/// Which entries the platform's balancer would use.
+/// Selects entries as the platform's load balancer does: only ready ones.
 class Balancer {
 public:
   explicit Balancer(std::size_t entries) : IsReady(entries, true) {}
 
-  /// Asks \p admin whether entry \p i is ready, again and again.
+  /// Polls \p admin for the readiness of entry \p i until stop().
   asio::awaitable<void> watch(HttpClient &admin, std::size_t i) {
     while (!IsStopped) {
       HttpRequest request(http::verb::get, "/ready", 11);
--- a/test/standin/Mortal.cpp
+++ b/test/standin/Mortal.cpp
@@ -1,8 +1,8 @@
-//===- Mortal.cpp - stand-in for an endpoint of the users' platform -------===//
+//===- Mortal.cpp - fake endpoint that crashes on a request ---------------===//
 //
-// Keeps its row in the platform's list, streams answers, and ends at once when
-// it is to run the deadly body. SIGTERM makes it say that it leaves, serve on
-// for a while and end.
+// Keeps its record in the platform's endpoint list, streams responses, and
+// exits when it runs the deadly body. On SIGTERM it announces that it is
+// leaving, serves requests for LeaveMs and exits.
 //
 //===----------------------------------------------------------------------===//
 
@@ -132,7 +132,7 @@
     }
   }
 
-  /// It leaves without a word to the platform.
+  /// Exits without updating the endpoint's record.
   static asio::awaitable<void> endSoon() {
     co_await pause(LeaveMs);
     ::_exit(0);
--- a/test/standin/Need.cpp
+++ b/test/standin/Need.cpp
@@ -1,4 +1,4 @@
-//===- Need.cpp - an endpoint that asks for less --------------------------===//
+//===- Need.cpp - fake pushback of an endpoint ----------------------------===//
 //
 // See Need.h.
 //
@@ -15,12 +15,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// From when on senders must have heard of a rate, a rest, a leaving.
+/// Time after the first announcement of a rate limit, a backoff or leaving from
+/// which all senders must comply.
 static constexpr Duration RateGrace = seconds(3);
 static constexpr Duration RestGrace = milliseconds(500);
 static constexpr Duration LeavingGrace = seconds(1);
 static constexpr Duration RateWindow = seconds(4);
-/// What a rate allows within the window beside itself.
+/// Tolerance: RatePart times the requests that the rate limit allows within the
+/// window, and RateSlack more.
 static constexpr double RatePart = 1.5;
 static constexpr double RateSlack = 5;
 
@@ -31,7 +33,7 @@
     RestUntil = now + milliseconds(ms);
   }
   if (std::int64_t ms = numberOf(in, "for_ms"); ms > 0) {
-    // A lower rate has to be heard, too.
+    // Senders get the grace period for a new rate limit, too.
     RateSaidAt.reset();
     Rate = double(numberOf(in, "rate", 1));
     RateUntil = now + milliseconds(ms);
--- a/test/standin/Need.h
+++ b/test/standin/Need.h
@@ -1,7 +1,7 @@
-//===- Need.h - an endpoint that asks for less ------------------*- C++ -*-===//
+//===- Need.h - fake pushback of an endpoint --------------------*- C++ -*-===//
 //
-// What a stand-in asks for in its answers on order (POST /need), and a record
-// of requests that come all the same.
+// Adds a rate limit, a backoff or a leaving header to a stand-in's responses,
+// as set by POST /need, and records the requests that violate them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +19,7 @@
 
 namespace standin {
 
-/// The headers by which an interface says it.
+/// The names of the headers that announce a rate limit and leaving.
 struct NeedHeaders {
   std::string Rate;
   std::string Leaving;
@@ -29,16 +29,18 @@
 public:
   using TimePoint = ospreyspur::TimePoint;
 
-  /// Each request that comes against what was asked for is a line in \p
-  /// history: "over-rate", "in-rest" or "after-leaving".
+  /// Each violating request adds a line to the file \p history: "over-rate",
+  /// "in-rest" or "after-leaving".
   Need(NeedHeaders headers, std::string history)
       : Headers(std::move(headers)), History(std::move(history)) {}
 
-  /// Takes "rate" and "for_ms", "rest_ms", or "leaving".
+  /// Sets the pushback from the fields "rate" and "for_ms", "rest_ms", or
+  /// "leaving" of \p in.
   void order(const boost::json::object &in, TimePoint now);
-  /// A request came. True if it is turned away; then its answer asks for rest.
+  /// Records the arrival of a request. Returns true if the request must be
+  /// rejected, with a response that asks for a backoff.
   bool onRequest(TimePoint now);
-  /// Adds what is asked for to an answer.
+  /// Adds the pushback's headers to a response.
   void addTo(ospreyspur::HttpResponse &answer, TimePoint now);
 
 private:
@@ -54,7 +56,7 @@
   TimePoint RateUntil;
   TimePoint RestUntil;
   bool IsLeaving = false;
-  /// When an answer first said so: nobody could know before.
+  /// When a response first announced each; senders could not know before.
   std::optional<TimePoint> RateSaidAt;
   std::optional<TimePoint> RestSaidAt;
   std::optional<TimePoint> LeavingSaidAt;
--- a/test/standin/Platform.cpp
+++ b/test/standin/Platform.cpp
@@ -1,8 +1,8 @@
-//===- Platform.cpp - stand-in for the platform's key-value service -------===//
+//===- Platform.cpp - fake of the platform's key-value store --------------===//
 //
-// Items, lists, watches, transactions and leases as the users' platform speaks
-// them, with outages, delays and answers lost after their effect on order
-// (POST /fault).
+// Items, lists, watches, transactions and leases in the platform's protocol.
+// POST /fault injects outages, delays, and responses that are lost after the
+// transaction took effect.
 //
 //===----------------------------------------------------------------------===//
 
@@ -39,7 +39,7 @@
   TimePoint Expires;
 };
 
-/// One change, for watches.
+/// A change, kept for watches.
 struct Change {
   std::string Key;
   std::uint64_t Revision = 0;
--- a/test/standin/PlatformGroup.h
+++ b/test/standin/PlatformGroup.h
@@ -1,8 +1,8 @@
-//===- PlatformGroup.h - a group of ranks in lock-step ----------*- C++ -*-===//
+//===- PlatformGroup.h - fake of a group that steps together ----*- C++ -*-===//
 //
-// A fake of a group that the platform forms: takes orders with fencing tokens,
-// copies, arms, holds, and steps all ranks together. Counts the steps that
-// began with two maps.
+// A fake of a group of ranks that the platform forms: handles orders with
+// fencing tokens, copies experts, arms maps, holds steps, and steps all ranks
+// together. Counts the steps in which ranks used different maps.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
 /// All ranks of one group.
 class PlatformGroup {
 public:
-  /// \p checksFences: whether ranks compare fencing tokens.
+  /// \p checksFences: whether ranks reject orders with outdated fencing tokens.
   PlatformGroup(unsigned size, bool checksFences)
       : Ranks(size), ChecksFences(checksFences) {
     for (unsigned i = 0; i < size; ++i) {
@@ -36,7 +36,7 @@
     }
   }
 
-  /// The rank's answer to \p order.
+  /// Handles \p order at \p rank.
   MapOrderResult take(unsigned rank, const MapOrder &order, TimePoint now) {
     Rank &it = Ranks[rank];
     if (order.Formation != it.Status.Formation)
@@ -48,13 +48,13 @@
                                    : MapOrderResult::Refused;
   }
 
-  /// What the rank reports.
+  /// The status report of \p rank.
   RankStatus status(unsigned rank, TimePoint now) {
     finishCopies(now);
     return Ranks[rank].Status;
   }
 
-  /// Begins the next step unless it is held.
+  /// Begins the next step on all ranks unless a rank holds that step.
   void step(TimePoint now) {
     finishCopies(now);
     StepNumber next(Ranks.front().Status.Step.get() + 1);
@@ -72,7 +72,7 @@
       }
   }
 
-  /// The platform forms the group anew: all that was promised is gone.
+  /// Forms the group anew: prepared, armed and held state is discarded.
   void form() {
     for (Rank &it : Ranks) {
       RankStatus &status = it.Status;
@@ -88,7 +88,7 @@
 
   /// Steps that began while two ranks had different maps.
   unsigned mixedSteps() const { return MixedSteps; }
-  /// Times that a step was due and held.
+  /// How often a step was due but held.
   unsigned heldSteps() const { return HeldSteps; }
   MapVersion map() const { return Ranks.front().Status.Map; }
 
@@ -97,7 +97,7 @@
     RankStatus Status;
     FencingToken HighestFence;
     MapVersion HighestVersion;
-    /// When the copies of HighestVersion are done.
+    /// When copying for HighestVersion finishes.
     std::optional<TimePoint> CopyEnds;
     RankPlacement Copied;
   };
--- a/test/standin/RankModel.h
+++ b/test/standin/RankModel.h
@@ -1,7 +1,7 @@
-//===- RankModel.h - an engine's side of map changes ------------*- C++ -*-===//
+//===- RankModel.h - fake of a rank's handling of map changes ---*- C++ -*-===//
 //
-// A fake of what a real engine does with an agent's orders. Used by the engine
-// stand-in and by the tests of the group's decisions.
+// Handles an agent's orders as a real engine does. Used by the fake engine and
+// by the tests of the group's state machines.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,10 +17,11 @@
 
 using namespace ospreyspur;
 
-/// One rank's engine.
+/// The state of one rank's engine.
 class RankModel {
 public:
-  /// \p checksFences: whether the engine compares epochs itself.
+  /// \p checksFences: whether the engine itself rejects orders with outdated
+  /// coordinator epochs.
   explicit RankModel(bool checksFences) : ChecksFences(checksFences) {}
 
   const RankState &state() const { return State; }
@@ -39,7 +40,7 @@
            !(State.Armed && State.Step >= State.Armed->Step);
   }
 
-  /// Runs the next step; the version of the map that it uses.
+  /// Runs the next step. Returns the version of the map that the step uses.
   MapVersion run() {
     if (State.IsSwitching && State.Step >= SwitchStep) {
       State.Running = State.Spare;
--- a/test/standin/Service.cpp
+++ b/test/standin/Service.cpp
@@ -1,6 +1,6 @@
-//===- Service.cpp - stand-in for a plain service -------------------------===//
+//===- Service.cpp - fake of a plain service ------------------------------===//
 //
-// Counts every run by the id in the body and answers with that count.
+// Counts runs by the id in the request's body and returns the count.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 using namespace standin;
 using namespace ospreyspur;
 
-/// How long a service that says that it leaves serves on.
+/// How long a service that has announced leaving continues to serve.
 static constexpr std::int64_t LeaveMs = 2500;
 
 int standin::runService(const std::string &listen, std::int64_t delayMs,
--- a/test/standin/Standins.h
+++ b/test/standin/Standins.h
@@ -1,8 +1,8 @@
-//===- Standins.h - small fakes of the outside systems ----------*- C++ -*-===//
+//===- Standins.h - fakes of the surrounding systems ------------*- C++ -*-===//
 //
 // Test-only processes: the platform, engines in a lock-step group, a plain
-// service and callers. They hold no policy; they take fault orders and keep
-// records for checkers.
+// service and callers. They implement no policy; they inject faults on request
+// and record runs for checkers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,37 +32,37 @@
 /// The JSON object in the request's body; empty if there is none.
 json::object bodyOf(const ospreyspur::HttpExchange &exchange);
 
-/// A whole number field of \p in, or \p def.
+/// An integer field of \p in, or \p def.
 std::int64_t numberOf(const json::object &in, std::string_view key,
                       std::int64_t def = 0);
 
 /// A text field of \p in, or "".
 std::string textOf(const json::object &in, std::string_view key);
 
-/// Answers with \p body as JSON.
+/// Sends a response with \p body as JSON.
 asio::awaitable<void> reply(ospreyspur::HttpExchange &exchange, unsigned status,
                             const json::value &body);
 
-/// Runs the platform's key-value service on \p listen. Each of \p preload is
-/// "key=file": the key holds the file's content from the start.
+/// Runs the platform's key-value store on \p listen. Each of \p preload is
+/// "key=file": the initial value of the key is the file's content.
 int runPlatform(const std::string &listen,
                 const std::vector<std::string> &preload);
 
-/// Runs a group of engines, one for each address, in lock-step.
+/// Runs a group of engines in lock-step, one for each address.
 int runGroup(const std::vector<std::string> &listens, std::int64_t stepMs,
              bool checksFences);
 
-/// What ends whoever runs it, and the exit status of its process.
+/// The request body that makes a fake endpoint exit, and the exit status.
 constexpr std::string_view DeadlyBody = "ends whoever runs it";
 constexpr int DeadlyExit = 3;
 
-/// Runs a plain service that counts each run by the request's id. With \p
-/// history it ends when it runs the deadly body; the file gets a line for each
-/// run, "deadly" or the request's id.
+/// Runs a plain service that counts runs by the request's id. With \p history
+/// the service exits when it runs the deadly body, and the file gets a line for
+/// each run: "deadly" or the request's id.
 int runService(const std::string &listen, std::int64_t delayMs,
                const std::string &history);
 
-/// What a load run sends.
+/// Parameters of an open-loop load run.
 struct LoadPlan {
   std::vector<std::string> Entries;
   std::string Key;
@@ -73,12 +73,12 @@
   std::int64_t Tokens = 16;
   std::uint64_t Seed = 1;
   std::string HistoryFile;
-  /// Admin addresses of Entries; an entry that is not ready is left out, as the
-  /// platform's balancer does. Empty: all are used.
+  /// Admin addresses of Entries. An entry that is not ready is skipped, as by
+  /// the platform's load balancer. If empty, all entries are used.
   std::vector<std::string> Admins;
 };
 
-/// An endpoint of the users' platform that ends on one body.
+/// Parameters of a platform endpoint that crashes on the deadly body.
 struct MortalPlan {
   std::string Listen;
   std::string Platform;
@@ -87,33 +87,35 @@
   std::string History;
 };
 
-/// Runs it until it ends.
+/// Runs the endpoint until its process exits.
 int runMortal(const MortalPlan &plan);
 
-/// Callers who keep their connections.
+/// Parameters of a load run with keep-alive connections.
 struct CrowdPlan {
   std::vector<std::string> Entries;
-  /// Where each entry says whether it is ready.
+  /// Addresses of the readiness probes of Entries.
   std::vector<std::string> Readies;
   std::int64_t Callers = 32;
   std::int64_t Seconds = 10;
   std::uint64_t Seed = 1;
-  /// Whether some of them send nothing but the deadly body.
+  /// Whether some callers send only requests with the deadly body.
   bool HasDeadly = false;
-  /// With a bearer key they speak our own interface, and ask for Service.
+  /// If there is a bearer key, callers use ospreyspur's own interface to call
+  /// Service, else the platform's interface.
   std::string Key;
   std::string Service;
 };
 
-/// Prints how often each outcome was seen.
+/// Runs the callers and prints the count of each outcome.
 int runCrowd(const CrowdPlan &plan);
 
-/// Joins a history with what the endpoints at \p runs ran; prints what broke
-/// and gives the number of broken promises.
+/// Compares a history with the records of the endpoints at \p runs. Prints each
+/// violated guarantee and returns their number.
 int verifyHistory(const std::string &historyFile,
                   const std::vector<std::string> &runs);
 
-/// Sends requests by a fixed schedule and prints a table; 0 if all were whole.
+/// Sends requests on a fixed schedule and prints a table of outcomes. Returns 0
+/// if all responses were complete.
 int runLoad(const LoadPlan &plan);
 
 } // namespace standin
--- a/test/standin/Verify.cpp
+++ b/test/standin/Verify.cpp
@@ -1,8 +1,9 @@
-//===- Verify.cpp - joins a history with the endpoints' records -----------===//
+//===- Verify.cpp - checks a history against endpoint records -------------===//
 //
-// Only plain service calls count here: they must not be repeated. Broken are:
-// an id that ran twice, an id whose every try was told "not run" and which ran,
-// and an id that was told "complete" and did not run.
+// Checks only calls to the plain service, as these must not run more than once.
+// Violations are: an id that ran more than once, an id that ran although all of
+// its attempts were reported as "not-run", and an id that was reported as
+// "complete" but did not run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,7 +31,7 @@
   Result<HttpResponse> response =
       co_await client.call(std::move(request), std::chrono::seconds(5));
   if (!response) {
-    runs["(an endpoint did not answer)"] = 2;
+    runs["(an endpoint did not respond)"] = 2;
     co_return;
   }
   json::value body = json::parse(response.value().body());
@@ -60,7 +61,7 @@
   }
   int broken = 0;
   auto report = [&](const std::string &id, const char *what) {
-    std::printf("broken: %s %s\n", id.c_str(), what);
+    std::printf("violation: %s %s\n", id.c_str(), what);
     ++broken;
   };
   for (const auto &[id, n] : runs)
@@ -69,12 +70,12 @@
   for (const auto &[id, words] : told) {
     bool hasRun = runs.contains(id);
     if (hasRun && words == std::set<std::string>{"not-run"})
-      report(id, "was told not-run and ran");
+      report(id, "was reported as not-run but ran");
     if (!hasRun && words.contains("complete"))
-      report(id, "was told complete and did not run");
+      report(id, "was reported as complete but did not run");
   }
   std::printf(
-      "verified %zu ids that must not be repeated, %zu ran, %d broken\n",
+      "verified %zu ids that must run at most once, %zu ran, %d violations\n",
       told.size(), runs.size(), broken);
   return broken;
 }
--- a/test/standin/main.cpp
+++ b/test/standin/main.cpp
@@ -1,6 +1,6 @@
-//===- main.cpp - the stand-ins' binary -----------------------------------===//
+//===- main.cpp - command line of the stand-ins ---------------------------===//
 //
-// Chooses the stand-in from the first argument.
+// Runs the stand-in that the first argument names.
 //
 //===----------------------------------------------------------------------===//
 
@@ -55,30 +55,34 @@
     using Text = TCLAP::ValueArg<std::string>;
     using Number = TCLAP::ValueArg<std::int64_t>;
     TCLAP::MultiArg<std::string> address(
-        "a", "address", "listen address, or an entry's for load", true,
-        "ip:port", cmd);
-    Number stepMs("", "step-ms", "time of an engine's step", false, 5, "ms",
+        "a", "address", "listen address, or the address of an entry for load",
+        true, "ip:port", cmd);
+    Number stepMs("", "step-ms", "duration of an engine's step", false, 5, "ms",
                   cmd);
-    Number delayMs("", "delay-ms", "time of a service's run", false, 0, "ms",
-                   cmd);
+    Number delayMs("", "delay-ms", "duration of a service's run", false, 0,
+                   "ms", cmd);
     TCLAP::MultiArg<std::string> preload(
-        "", "preload", "value of a key at the start", false, "key=file", cmd);
-    TCLAP::SwitchArg noFences("", "no-fences", "engines check no fences", cmd);
+        "", "preload", "initial value of a key", false, "key=file", cmd);
+    TCLAP::SwitchArg noFences("", "no-fences",
+                              "engines don't check fencing tokens", cmd);
     Text key("", "key", "bearer key", false, "", "key", cmd);
-    Text model("", "model", "model to ask", false, "", "name", cmd);
-    Text service("", "service", "plain service to ask", false, "", "name", cmd);
+    Text model("", "model", "model to call", false, "", "name", cmd);
+    Text service("", "service", "plain service to call", false, "", "name",
+                 cmd);
     Text history("", "history", "file for the history", false, "", "file", cmd);
-    Number rate("", "rate", "requests a second", false, 50, "n", cmd);
+    Number rate("", "rate", "requests per second", false, 50, "n", cmd);
     Number seconds("", "seconds", "length of the run", false, 5, "s", cmd);
-    Number tokens("", "tokens", "tokens of an answer", false, 16, "n", cmd);
+    Number tokens("", "tokens", "tokens per response", false, 16, "n", cmd);
     Number seed("", "seed", "seed of the schedule", false, 1, "n", cmd);
     TCLAP::MultiArg<std::string> ready(
-        "", "ready", "an entry's admin address: use it only while ready", false,
+        "", "ready",
+        "admin address of an entry, which is used only while ready", false,
         "ip:port", cmd);
-    Text platform("", "platform", "the platform's service", false, "",
-                  "ip:port", cmd);
+    Text platform("", "platform", "address of the platform's key-value store",
+                  false, "", "ip:port", cmd);
     Text ownName("", "name", "the endpoint's name", false, "", "name", cmd);
-    Number callers("", "callers", "callers of a crowd", false, 32, "n", cmd);
+    Number callers("", "callers", "number of callers for crowd", false, 32, "n",
+                   cmd);
     TCLAP::SwitchArg deadly("", "deadly", "some callers send the deadly body",
                             cmd);
     cmd.parse(argc, argv);
--- a/utils/bench/PickerBench.cpp
+++ b/utils/bench/PickerBench.cpp
@@ -1,4 +1,4 @@
-//===- PickerBench.cpp - ways of picking an endpoint, compared ------------===//
+//===- PickerBench.cpp - comparison of endpoint pickers -------------------===//
 //
 // See PickerBench.h.
 //
@@ -51,7 +51,7 @@
   return it;
 }
 
-/// Differs from today's in size and in its engines' steps.
+/// Differs from makeToday() in size and in the engines' step times.
 static Deployment makeLarge() {
   Deployment it = makeToday();
   it.Name = "planned: 370 entries, 600 endpoints in 10 groups";
@@ -110,8 +110,9 @@
       {"5 probes, load, prefix 4", Shipped, 5, true, both(4)},
   };
   for (const Deployment &deployment : {makeToday(), makeLarge()}) {
-    std::printf("%s\n(first token p50 p95 p99; between tokens p50 p95)\n",
-                deployment.Name);
+    std::printf(
+        "%s\n(time to first token p50 p95 p99; between tokens p50 p95)\n",
+        deployment.Name);
     for (const Method &it : methods) {
       PickerResult result = PickerWorld(deployment, it, Seed).run();
       print(it, result);
@@ -129,13 +130,13 @@
   base.SlowFactor = 1;
   base.Workspaces = 10;
   base.Deadline = seconds(8);
-  std::printf("16 endpoints, callers who wait 8 s, offered load\n");
+  std::printf("16 endpoints, deadline 8 s, by offered load\n");
   for (double factor : {0.5, 0.8, 1.0, 1.5, 2.0, 3.0, 4.0}) {
     Deployment it = base;
     it.Rate = factor * Capacity;
     PickerResult result = PickerWorld(it, shipped, Seed).run();
     double span = std::chrono::duration<double>(it.Span).count();
-    std::printf("offered %4.0f/s: whole %5.1f/s, first token p50 %5.0f p99 "
+    std::printf("offered %4.0f/s: complete %5.1f/s, first token p50 %5.0f p99 "
                 "%5.0f ms, refused %5.1f/s after p50 %5.0f p99 %5.0f ms, cut "
                 "%.1f/s\n",
                 it.Rate, double(result.Whole) / span,
@@ -144,7 +145,7 @@
                 percentile(result.RefusedMs, 0.5),
                 percentile(result.RefusedMs, 0.99), double(result.Cut) / span);
   }
-  std::printf("others at %.0f/s beside a flood of one workspace\n",
+  std::printf("other workspaces at %.0f/s beside a flood of one workspace\n",
               Capacity / 2);
   for (double flood : {0.0, 1.0, 2.0, 4.0}) {
     Deployment it = base;
--- a/utils/bench/PickerBench.h
+++ b/utils/bench/PickerBench.h
@@ -1,4 +1,4 @@
-//===- PickerBench.h - ways of picking an endpoint, compared ----*- C++ -*-===//
+//===- PickerBench.h - comparison of endpoint pickers -----------*- C++ -*-===//
 //
 // Part of ospreyspur-bench.
 //
@@ -9,12 +9,13 @@
 
 namespace ospreyspur::bench {
 
-/// Prints latencies, skew of load over ranks, prefix hits and messages for each
-/// way of picking, on the same arrivals, at two sizes of deployment.
+/// Prints latencies, load imbalance of ranks, prefix cache hits and messages
+/// for each method of picking an endpoint. All methods get the same arrivals,
+/// at two sizes of deployment.
 void benchPickers();
 
-/// Prints what is served whole at half to four times the capacity, and what a
-/// flood of one workspace does to the others.
+/// Prints the rate of complete responses at half to four times the capacity,
+/// and how a flood of one workspace affects the other workspaces.
 void benchOverload();
 
 } // namespace ospreyspur::bench
--- a/utils/bench/PickerWorld.cpp
+++ b/utils/bench/PickerWorld.cpp
@@ -1,4 +1,4 @@
-//===- PickerWorld.cpp - entries, agents and lock-step engines ------------===//
+//===- PickerWorld.cpp - simulation of a deployment -----------------------===//
 //
 // See PickerWorld.h.
 //
@@ -70,7 +70,7 @@
   return std::move(Totals);
 }
 
-/// Refreshes what LeastKnown knows of all endpoints.
+/// Refreshes the endpoint loads that LeastKnown uses.
 void PickerWorld::report() {
   for (Endpoint &it : Endpoints)
     it.KnownLoad = it.Agent->runningCount() + it.Agent->queuedCount();
@@ -129,8 +129,9 @@
     }
     return best;
   }
-  // A walk over edges that stand for free slots ends, when it is long enough,
-  // at an endpoint with a chance in proportion to its free slots.
+  // A sufficiently long random walk, whose edges represent free slots, ends at
+  // an endpoint with a probability proportional to its free slots. Endpoints
+  // without free slots keep a small weight.
   std::vector<double> free;
   for (const Endpoint &it : Endpoints) {
     std::size_t used = it.Agent->runningCount() + it.Agent->queuedCount();
@@ -244,7 +245,7 @@
     step(group);
 }
 
-/// Begins a step of all ranks; its length is that of the slowest.
+/// Begins a step of all ranks, which lasts as long as the slowest rank needs.
 void PickerWorld::step(std::size_t group) {
   std::size_t most = 0;
   std::size_t sum = 0;
@@ -281,7 +282,9 @@
     for (Job &job : it.Jobs) {
       if (!std::exchange(job.HasFirst, true))
         apply(i, it.Agent->onRunHead(job.Id, 200, "text/event-stream", now));
-      // Every token would only cost time here; silence would end the call.
+      // Sends one chunk for every TokensPerChunk tokens: chunks for each token
+      // would slow the benchmark down, and no chunks at all would let the call
+      // time out as stalled.
       if (job.Left-- % TokensPerChunk == Plan.Tokens % TokensPerChunk)
         spoken.push_back(job.Id);
       if (job.Left == 0)
--- a/utils/bench/PickerWorld.h
+++ b/utils/bench/PickerWorld.h
@@ -1,8 +1,8 @@
-//===- PickerWorld.h - entries, agents and lock-step engines ----*- C++ -*-===//
+//===- PickerWorld.h - simulation of a deployment ---------------*- C++ -*-===//
 //
 // The shipped EntryNodes and AgentNodes on virtual time, in front of a simple
-// model of engines: ranks of a group step together, a step takes as long as its
-// busiest rank, and prompts whose prefix is cached are read faster.
+// model of engines: ranks of a group step together, a step lasts as long as its
+// busiest rank needs, and a prompt with a cached prefix needs less prefill.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,14 +30,14 @@
   std::size_t GroupSize = 0;
   std::size_t DataCentres = 0;
   std::size_t Slots = 0;
-  /// Requests a second; BurstFactor times as many from BurstAt for BurstFor.
+  /// Requests per second; BurstFactor times as many from BurstAt for BurstFor.
   double Rate = 0;
   double BurstFactor = 1;
-  /// Further requests a second, all of one workspace.
+  /// Additional requests per second, all of one workspace.
   double FloodRate = 0;
-  /// Workspaces of the other requests.
+  /// Number of workspaces that the other requests belong to.
   std::size_t Workspaces = 1;
-  /// How long a caller waits for the whole answer.
+  /// How long a caller waits for the complete response.
   Duration Deadline = std::chrono::seconds(60);
   Duration Span{};
   Duration BurstAt{};
@@ -47,18 +47,20 @@
   std::size_t PrefixTokens = 0;
   std::size_t Prefixes = 0;
   std::size_t CachedPrefixes = 0;
-  /// An engine's step: this, and this for each request of its busiest rank.
+  /// Duration of an engine's step: StepBase, plus StepPerRequest for each
+  /// request on the busiest rank.
   Duration StepBase{};
   Duration StepPerRequest{};
-  /// Prompt tokens read in a millisecond.
+  /// Prompt tokens processed per millisecond.
   double PrefillPerMs = 75;
-  /// Group 0 steps so many times slower after SlowAt.
+  /// After SlowAt, steps of group 0 take SlowFactor times as long.
   Duration SlowAt{};
   double SlowFactor = 1;
 };
 
-/// How an entry picks. Shipped: the entry's own picker, with \c Probes and
-/// \c UsesPrefix. The others choose one endpoint and hand the entry only that.
+/// A method of picking an endpoint. Shipped is the entry's own picker, with
+/// \c Probes and \c UsesPrefix. The other methods pick an endpoint outside the
+/// entry, which then knows only this endpoint.
 struct Method {
   enum class Kind { Shipped, RoundRobin, LeastKnown, FreeCapacityWalk };
   const char *Name = "";
@@ -66,20 +68,20 @@
   std::size_t Probes = 1;
   bool UsesPrefix = false;
   PickerWeights Weights;
-  /// Age of what is known of loads, for LeastKnown.
+  /// Interval between load reports, for LeastKnown.
   Duration ReportEvery = std::chrono::seconds(1);
-  /// Messages of a pick beside the entry's own.
+  /// Messages per pick in addition to the entry's own.
   std::size_t ExtraMessages = 0;
 };
 
-/// What a run gave. Times and refusals leave out the flood.
+/// Results of a run. Times and refusals exclude the flood.
 struct PickerResult {
   std::vector<double> FirstMs;
   std::vector<double> BetweenMs;
   std::size_t Refused = 0;
-  /// Answers that came whole before their deadline, the flood's too.
+  /// Responses that were complete before their deadline, including the flood's.
   std::size_t Whole = 0;
-  /// Calls that began to be answered and did not end.
+  /// Calls whose response started but did not complete.
   std::size_t Cut = 0;
   std::vector<double> RefusedMs;
   std::size_t Hits = 0;
@@ -89,17 +91,17 @@
   std::size_t Steps = 0;
 };
 
-/// One run of one method.
+/// Simulates one run of one method.
 class PickerWorld {
 public:
   PickerWorld(const Deployment &deployment, const Method &method,
               std::uint64_t seed);
 
-  /// Runs all arrivals to their end.
+  /// Runs until all arrivals have ended.
   PickerResult run();
 
 private:
-  /// A request at an engine.
+  /// A request that an engine is processing.
   struct Job {
     RequestId Id;
     std::size_t Left = 0;
--- a/utils/bench/SpreadBench.cpp
+++ b/utils/bench/SpreadBench.cpp
@@ -1,7 +1,7 @@
-//===- SpreadBench.cpp - how fast and how dear values spread --------------===//
+//===- SpreadBench.cpp - speed and cost of gossip -------------------------===//
 //
-// Drives the shipped GossipNodes of a whole fleet on virtual time, with the
-// real codec for sizes. Times are virtual: links take up to 3 ms.
+// Drives the shipped GossipNodes of a whole fleet on virtual time. Links take
+// up to 3 ms. The real codec determines message sizes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
 static constexpr Duration Patience = seconds(60);
 
 namespace {
-/// What the fleet spent between two moments.
+/// Platform calls, messages and bytes of the fleet since construction.
 class Meter {
 public:
   explicit Meter(GossipWorld &world)
@@ -48,8 +48,8 @@
       mostMessages =
           std::max(mostMessages, World.Nodes[i].MessagesOut - Before[i].second);
     }
-    std::printf("%s, %.1f s: platform calls %.1f/s; out of a node: mean %.0f "
-                "B/s, most %.0f B/s (%zu B in all), most messages %.1f/s\n",
+    std::printf("%s, %.1f s: platform calls %.1f/s; sent per node: mean %.0f "
+                "B/s, max %.0f B/s (%zu B in total), max messages %.1f/s\n",
                 name, span, double(World.PlatformCalls - Calls) / span,
                 double(sum) / double(Before.size()) / span, double(most) / span,
                 most, double(mostMessages) / span);
@@ -62,7 +62,7 @@
   std::vector<std::pair<std::size_t, std::size_t>> Before;
 };
 
-/// A fleet that has started, with sizes from the codec.
+/// A fleet after 10 s of startup, with message sizes from the codec.
 class BenchWorld : public GossipWorld {
 public:
   BenchWorld(unsigned lossPercent, unsigned latePercent)
@@ -83,7 +83,7 @@
     std::string value(ConfigBytes, static_cast<char>('a' + ++Changes));
     Revision at = write(SharedKey::Config, value);
     Duration span = awaitInForce(SharedKey::Config, at, Patience);
-    std::printf("%s: in force on all after %.2f s\n", name,
+    std::printf("%s: in force on all nodes after %.2f s\n", name,
                 std::chrono::duration<double>(span).count());
     meter.print("  the change");
   }
@@ -103,12 +103,13 @@
     world.run(seconds(60));
     double spent = double(std::clock() - cpu) / CLOCKS_PER_SEC;
     idle.print("idle");
-    std::printf("  decisions and encoding of sizes: %.4f%% of a core a node\n",
-                100 * spent / 60 / double(world.Nodes.size()));
-    world.change("all well");
+    std::printf(
+        "  decisions and encoding of sizes: %.4f%% of a core per node\n",
+        100 * spent / 60 / double(world.Nodes.size()));
+    world.change("no faults");
     for (std::size_t it : world.findWatchers(1))
       world.kill(it);
-    world.change("both watchers of a data centre just died");
+    world.change("both watchers of a data centre just killed");
     world.cutFromPlatform(2, seconds(600));
     world.change("a data centre just cut off from the platform");
     world.run(seconds(30));
@@ -118,15 +119,15 @@
     Meter outage(world);
     world.setOutage(seconds(60));
     world.run(seconds(60));
-    outage.print("platform out for a minute");
-    world.change("the platform just came back");
+    outage.print("platform outage of a minute");
+    world.change("platform outage just over");
   }
   {
     BenchWorld world(1, 5);
-    world.change("1% of messages lost, 1% doubled, 5% up to 0.9 s late");
+    world.change("1% of messages lost, 1% duplicated, 5% up to 0.9 s late");
   }
   {
-    // A data centre's agents leave the list one by one in a minute.
+    // The agents of a data centre leave the host list one by one in a minute.
     BenchWorld world(0, 0);
     Meter meter(world);
     std::vector<std::size_t> gone;
@@ -136,6 +137,6 @@
       world.writeHosts(gone);
       world.run(std::chrono::milliseconds(600));
     }
-    meter.print("a data centre goes, 100 host lists in a minute");
+    meter.print("agents of a data centre removed, 100 host lists in a minute");
   }
 }
--- a/utils/bench/SpreadBench.h
+++ b/utils/bench/SpreadBench.h
@@ -1,4 +1,4 @@
-//===- SpreadBench.h - how fast and how dear values spread ------*- C++ -*-===//
+//===- SpreadBench.h - speed and cost of gossip -----------------*- C++ -*-===//
 //
 // Part of ospreyspur-bench.
 //
@@ -9,8 +9,8 @@
 
 namespace ospreyspur::bench {
 
-/// Prints time in force, calls on the platform and bytes a node at the size
-/// that docs/CAPACITY.md designs for.
+/// Prints the time until a change is in force, platform calls, and bytes per
+/// node, at the size that docs/CAPACITY.md designs for.
 void benchSpread();
 
 } // namespace ospreyspur::bench
--- a/utils/bench/bench.cpp
+++ b/utils/bench/bench.cpp
@@ -1,11 +1,11 @@
-//===- bench.cpp - what the decisions cost --------------------------------===//
+//===- bench.cpp - cost of the state machines -----------------------------===//
 //
-// Drives the shipped state machines without I/O and prints slopes: time and
-// bytes for each request, token, endpoint or map. With the argument "links" it
-// measures the links between processes instead, with "spread" how shared values
-// spread, with "pickers" ways of picking an endpoint,
-// with "overload" what happens beyond the capacity. Not a test;
-// docs/BENCHMARKS.md and docs/CAPACITY.md name the command for each figure.
+// Drives the shipped state machines without I/O and prints time and bytes per
+// request, token, endpoint or map. An argument selects another benchmark:
+// "links" measures the links between processes, "spread" the distribution of
+// shared values by gossip, "pickers" methods of picking an endpoint, and
+// "overload" the behaviour beyond capacity. Not a test; docs/BENCHMARKS.md and
+// docs/CAPACITY.md name the command for each figure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -71,7 +71,7 @@
       TimePoint began = monotonicNow();
       MapPlan first = planner.plan(map, drawDemand(shape, 1));
       double cold = secondsSince(began);
-      // A demand that has turned a little since.
+      // A demand that has changed slightly since the first plan.
       ExpertDemand turned = drawDemand(shape, 1);
       ExpertDemand other = drawDemand(shape, 2);
       for (std::size_t i = 0; i < turned.size(); ++i)
@@ -81,7 +81,7 @@
       MapPlan next = planner.plan(first.Map, turned);
       double warm = secondsSince(began);
       std::printf("plan ranks=%zu move_weight=%.4f first: %.0f ms skew "
-                  "%.2f->%.2f moves %zu; after a small turn: %.0f ms skew "
+                  "%.2f->%.2f moves %zu; after a small change: %.0f ms skew "
                   "%.2f->%.2f moves %zu; record %zu bytes\n",
                   shape.Ranks, move, cold * 1e3, first.SkewBefore,
                   first.SkewAfter, first.Moves, warm * 1e3, next.SkewBefore,
@@ -90,7 +90,8 @@
   }
 }
 
-/// One entry and one agent, wired directly: the decisions' share of a request.
+/// The cost of a request in the state machines of one entry and one agent,
+/// which are connected directly.
 static void benchRequest(std::size_t tokens) {
   const std::size_t requests = tokens == 0 ? 20000 : 2000;
   auto snapshot = std::make_shared<RoutingSnapshot>();
@@ -160,7 +161,7 @@
   double seconds = secondsSince(began);
   std::printf(
       "request tokens=%zu decisions+encoding %.2f us/request, %.2f "
-      "us/token; messages %.1f; bytes to agent %.0f, to entry %.0f a "
+      "us/token; messages %.1f; bytes to agent %.0f, to entry %.0f per "
       "request; ledger %.0f bytes/record (%zu records)\n",
       tokens, seconds * 1e6 / double(requests),
       seconds * 1e6 / double(requests * std::max<std::size_t>(tokens, 1)),
@@ -228,8 +229,8 @@
   return resident * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-/// One server and \p count clients in this process: memory of both ends of a
-/// link, and processor time of idle links.
+/// Connects \p count clients to one server in this process. Prints memory for
+/// both ends of a link and the processor time of idle links.
 static void benchLinks(std::size_t count) {
   PeerServer server({[](LinkId, const auto &) {}, [](LinkId) {}});
   if (!server.listen("0.0.0.0:7990"))
@@ -239,7 +240,7 @@
   std::atomic<std::size_t> answered = 0;
   for (std::size_t i = 0; i < count; ++i) {
     PeerClientHandlers handlers{[](const auto &) {}, [&] { ++answered; }};
-    // A different address for each, or gRPC shares one connection.
+    // gRPC would share one connection among clients with the same address.
     std::string address = "127.0." + std::to_string(1 + i / 250) + "." +
                           std::to_string(1 + i % 250) + ":7990";
     clients.push_back(std::make_unique<PeerClient>(address, handlers));
@@ -250,13 +251,13 @@
   auto cpu = std::clock();
   std::this_thread::sleep_for(std::chrono::seconds(12));
   double idle = double(std::clock() - cpu) / CLOCKS_PER_SEC / 12;
-  std::printf("links=%zu failed %zu: %.0f bytes a link for both ends, idle "
+  std::printf("links=%zu failed %zu: %.0f bytes per link for both ends, idle "
               "%.3f%% of a core\n",
               count, answered.load(), (after - before) / double(count),
               idle * 100);
 }
 
-/// Round trips on one link, with a pause between two or without.
+/// Measures round trips on one link, \p gap apart.
 static void benchRoundTrip(std::chrono::milliseconds gap) {
   constexpr std::size_t Trips = 300;
   PeerServer *echo = nullptr;
--- a/utils/local-deployment.sh
+++ b/utils/local-deployment.sh
@@ -1,5 +1,6 @@
-# Starts and stops a whole deployment on this host; sourced by utils/run-local and
-# by the tests with real processes. Needs the two binaries in build/.
+# Starts and stops a complete deployment on this host; sourced by
+# utils/run-local, utils/bench/path and test/run-processes. Needs the binaries
+# ospreyspur and ospreyspur-standin in build/.
 
 dir=$(mktemp -d)
 pids=()
@@ -27,14 +28,15 @@
 }
 stop_all() {
   local i
-  # Entries and agents last in, first out, so that requests in flight finish.
+  # In reverse order of the start: entries before agents, so that requests in
+  # flight finish.
   for ((i = ${#pids[@]} - 1; i >= 0; i--)); do
     kill -TERM "${pids[$i]}" 2>/dev/null || true
     wait "${pids[$i]}" 2>/dev/null || true
   done
 }
 trap stop_all EXIT
-fabric() { # a whole number of the engines' lock-step record
+fabric() { # prints an integer field of the engines' lock-step statistics
   curl -fsS http://127.0.0.1:7101/fabric | grep -oE "\"$1\":[0-9]+" | cut -d: -f2
 }
 wait_ready() { # admin address
