--- a/test/standin/Crowd.cpp
+++ b/test/standin/ClosedLoopLoad.cpp
@@ -1,4 +1,4 @@
-//===- Crowd.cpp - load generator with keep-alive connections -------------===//
+//===- ClosedLoopLoad.cpp - load generator with keep-alive connections ----===//
 //
 // Each caller sends its requests in sequence on one connection until the entry
 // closes the connection, even while the entry is stopping. The caller then
@@ -31,21 +31,21 @@
 namespace http = boost::beast::http;
 
 static constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-static constexpr std::chrono::seconds Patience(8);
-static constexpr std::int64_t RestMs = 60;
+static constexpr std::chrono::seconds CallTimeout(8);
+static constexpr std::int64_t PauseMs = 60;
 static constexpr std::int64_t RetryMs = 100;
-static constexpr std::string_view Whole = "id: 6\n";
-static constexpr std::string_view WholeJson = "\"path\":\"/x\"}";
+static constexpr std::string_view ResponseEnd = "id: 6\n";
+static constexpr std::string_view JsonResponseEnd = "\"path\":\"/x\"}";
 
 namespace {
-class Crowd {
+class ClosedLoopLoad {
 public:
-  Crowd(asio::io_context &ioc, const CrowdPlan &plan)
+  ClosedLoopLoad(asio::io_context &ioc, const ClosedLoopPlan &plan)
       : Context(ioc), Plan(plan), Random(plan.Seed),
         End(std::chrono::steady_clock::now() +
             std::chrono::seconds(plan.Seconds)) {
     for (std::int64_t i = 0; i < plan.Callers; ++i)
-      asio::co_spawn(ioc, live(i), asio::detached);
+      asio::co_spawn(ioc, runCaller(i), asio::detached);
   }
 
   /// Prints "outcome count" lines.
@@ -58,7 +58,7 @@
   bool isOver() const { return std::chrono::steady_clock::now() >= End; }
 
   /// One caller in sixteen sends only requests with the deadly body.
-  asio::awaitable<void> live(std::int64_t caller) {
+  asio::awaitable<void> runCaller(std::int64_t caller) {
     constexpr std::int64_t DeadlyOneIn = 16;
     bool isDeadly = Plan.HasDeadly && caller % DeadlyOneIn == 0;
     while (!isOver()) {
@@ -68,7 +68,7 @@
         continue;
       }
       beast::tcp_stream stream(Context);
-      stream.expires_after(Patience);
+      stream.expires_after(CallTimeout);
       auto [ec] = co_await stream.async_connect(
           parseAddress(Plan.Entries[entry]).value(), AsTuple);
       if (ec) {
@@ -77,8 +77,8 @@
         continue;
       }
       beast::flat_buffer buf;
-      while (!isOver() && co_await ask(stream, buf, isDeadly))
-        co_await pause(isDeadly ? 4 * RestMs : RestMs);
+      while (!isOver() && co_await sendRequest(stream, buf, isDeadly))
+        co_await pause(isDeadly ? 4 * PauseMs : PauseMs);
     }
   }
 
@@ -86,7 +86,7 @@
     beast::tcp_stream stream(Context);
     stream.expires_after(std::chrono::seconds(1));
     auto [ec] = co_await stream.async_connect(
-        parseAddress(Plan.Readies[entry]).value(), AsTuple);
+        parseAddress(Plan.ReadinessAddresses[entry]).value(), AsTuple);
     if (ec)
       co_return false;
     http::request<http::empty_body> request(
@@ -101,12 +101,12 @@
 
   /// Sends one request and checks the response. Returns whether the connection
   /// can be reused.
-  asio::awaitable<bool> ask(beast::tcp_stream &stream, beast::flat_buffer &buf,
-                            bool isDeadly) {
+  asio::awaitable<bool> sendRequest(beast::tcp_stream &stream,
+                                    beast::flat_buffer &buf, bool isDeadly) {
     std::string id =
         "c" + std::to_string(Plan.Seed) + "-" + std::to_string(++LastRequest);
     auto request = makeRequest(id, isDeadly);
-    stream.expires_after(Patience);
+    stream.expires_after(CallTimeout);
     auto [writeError, sent] =
         co_await http::async_write(stream, request, AsTuple);
     if (writeError) {
@@ -129,10 +129,10 @@
         !Plan.Key.empty() ||
         answer["Request-Id"] == beast::string_view(id.data(), id.size());
     bool isOk = answer.result_int() == 200;
-    std::string_view end = Plan.Key.empty() ? Whole : WholeJson;
-    bool isWhole = answer.body().find(end) != std::string::npos &&
-                   answer.body().find(id) != std::string::npos;
-    if (!isOwn || (isOk && !isWhole))
+    std::string_view end = Plan.Key.empty() ? ResponseEnd : JsonResponseEnd;
+    bool isComplete = answer.body().find(end) != std::string::npos &&
+                      answer.body().find(id) != std::string::npos;
+    if (!isOwn || (isOk && !isComplete))
       ++Outcomes["wrong"];
     else
       ++Outcomes[kind + std::to_string(answer.result_int())];
@@ -159,7 +159,7 @@
   }
 
   asio::io_context &Context;
-  const CrowdPlan &Plan;
+  const ClosedLoopPlan &Plan;
   std::mt19937_64 Random;
   std::chrono::steady_clock::time_point End;
   std::uint64_t LastRequest = 0;
@@ -167,10 +167,10 @@
 };
 } // namespace
 
-int standin::runCrowd(const CrowdPlan &plan) {
+int standin::runClosedLoop(const ClosedLoopPlan &plan) {
   asio::io_context ioc(1);
-  Crowd crowd(ioc, plan);
+  ClosedLoopLoad callers(ioc, plan);
   ioc.run();
-  crowd.print();
+  callers.print();
   return 0;
 }
--- a/test/standin/Mortal.cpp
+++ b/test/standin/CrashableEndpoint.cpp
@@ -1,4 +1,4 @@
-//===- Mortal.cpp - fake endpoint that crashes on a request ---------------===//
+//===- CrashableEndpoint.cpp - fake endpoint that crashes on a request ----===//
 //
 // Keeps its record in the platform's endpoint list, streams responses, and
 // exits when it runs the deadly body. On SIGTERM it announces that it is
@@ -6,7 +6,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "Need.h"
+#include "FakePushback.h"
 #include "Standins.h"
 
 #include "ospreyspur/Platform/PlatformClient.h"
@@ -27,31 +27,31 @@
 static constexpr int Events = 6;
 static constexpr std::int64_t LeaveMs = 2500;
 static constexpr std::int64_t RenewMs = 500;
-static constexpr Duration RowSpan = std::chrono::milliseconds(1800);
+static constexpr Duration RecordLease = std::chrono::milliseconds(1800);
 static constexpr Duration CallTimeout = std::chrono::milliseconds(400);
 
 namespace {
-class Mortal {
+class CrashableEndpoint {
 public:
-  Mortal(asio::io_context &ioc, const MortalPlan &plan)
+  CrashableEndpoint(asio::io_context &ioc, const CrashableEndpointPlan &plan)
       : Context(ioc), Plan(plan),
         Platform(ioc, parseAddress(plan.Platform).value()),
         Id("i-" + plan.Name + "-" + std::to_string(::getpid())),
-        Asked({"Server-Limit", "Server-Leaving"}, plan.History),
+        PushbackState({"Server-Limit", "Server-Leaving"}, plan.History),
         Signals(ioc, SIGTERM) {
     Signals.async_wait([this](boost::system::error_code ec, int) {
       if (!ec)
         asio::co_spawn(Context, leave(), asio::detached);
     });
-    asio::co_spawn(Context, keepRow(), asio::detached);
+    asio::co_spawn(Context, maintainRecord(), asio::detached);
   }
 
   asio::awaitable<void> handle(HttpExchange &exchange) {
     if (exchange.request().target() == "/need") {
       json::object in = bodyOf(exchange);
-      Asked.order(in, monotonicNow());
+      PushbackState.configure(in, monotonicNow());
       if (numberOf(in, "leaving") > 0)
-        asio::co_spawn(Context, endSoon(), asio::detached);
+        asio::co_spawn(Context, exitLater(), asio::detached);
       co_await reply(exchange, 200, json::object());
       co_return;
     }
@@ -62,16 +62,16 @@
       co_await exchange.respond(421, "text/plain", "");
       co_return;
     }
-    if (Asked.onRequest(monotonicNow())) {
+    if (PushbackState.onRequest(monotonicNow())) {
       HttpResponse refusal;
       refusal.result(503);
       refusal.set("Not-Executed", "1");
       refusal.set("Request-Id", label);
-      Asked.addTo(refusal, monotonicNow());
+      PushbackState.addTo(refusal, monotonicNow());
       co_await exchange.respond(std::move(refusal));
       co_return;
     }
-    note(isDeadly ? "deadly" : label);
+    recordRun(isDeadly ? "deadly" : label);
     co_await pause(WorkMs);
     if (isDeadly)
       ::_exit(DeadlyExit);
@@ -79,7 +79,7 @@
     head.set("Content-Type", "text/event-stream");
     head.set("Request-Id", label);
     head.set("Replica-Stamp", Id);
-    Asked.addTo(head, monotonicNow());
+    PushbackState.addTo(head, monotonicNow());
     std::string last = exchange.header("Last-Event-Id");
     int first = last.empty() ? 1 : std::stoi(last) + 1;
     bool isOpen = co_await exchange.beginStream(head);
@@ -93,11 +93,11 @@
   }
 
 private:
-  void note(const std::string &what) const {
-    std::ofstream(Plan.History, std::ios::app) << Id << ' ' << what << '\n';
+  void recordRun(const std::string &line) const {
+    std::ofstream(Plan.History, std::ios::app) << Id << ' ' << line << '\n';
   }
 
-  std::string row() const {
+  std::string recordJson() const {
     return json::serialize(json::object{{"service", "s"},
                                         {"address", Plan.Listen},
                                         {"zone", "a"},
@@ -108,22 +108,22 @@
                                         {"seq", 1}});
   }
 
-  asio::awaitable<void> keepRow() {
+  asio::awaitable<void> maintainRecord() {
     std::string key = "servers/" + Id;
     for (;;) {
       KvReply reply;
-      if (At.get() > 0 && State == Written) {
+      if (At.get() > 0 && State == WrittenState) {
         KvCall renew = KvRenew{key, At};
         reply = co_await Platform.ask(std::move(renew), CallTimeout);
         if (reply.Code == ResultCode::NotFound)
           At = Revision(0);
       } else {
         std::string state = State;
-        KvCall put = KvPut{key, row(), At, RowSpan};
+        KvCall put = KvPut{key, recordJson(), At, RecordLease};
         reply = co_await Platform.ask(std::move(put), CallTimeout);
         if (reply.Code == ResultCode::Ok) {
           At = reply.At;
-          Written = state;
+          WrittenState = state;
         } else if (reply.Code == ResultCode::PlatformConflict) {
           At = reply.At;
         }
@@ -133,36 +133,36 @@
   }
 
   /// Exits without updating the endpoint's record.
-  static asio::awaitable<void> endSoon() {
+  static asio::awaitable<void> exitLater() {
     co_await pause(LeaveMs);
     ::_exit(0);
   }
 
   asio::awaitable<void> leave() {
     State = "draining";
-    while (Written != State)
+    while (WrittenState != State)
       co_await pause(RenewMs);
     co_await pause(LeaveMs);
     ::_exit(0);
   }
 
   asio::io_context &Context;
-  const MortalPlan &Plan;
+  const CrashableEndpointPlan &Plan;
   PlatformClient Platform;
   std::string Id;
-  Need Asked;
+  FakePushback PushbackState;
   asio::signal_set Signals;
   std::string State = "ready";
-  std::string Written;
+  std::string WrittenState;
   Revision At;
 };
 } // namespace
 
-int standin::runMortal(const MortalPlan &plan) {
+int standin::runCrashableEndpoint(const CrashableEndpointPlan &plan) {
   asio::io_context ioc(1);
-  Mortal mortal(ioc, plan);
+  CrashableEndpoint endpoint(ioc, plan);
   HttpServer server(ioc, HttpLimits(),
-                    [&](HttpExchange &it) { return mortal.handle(it); });
+                    [&](HttpExchange &it) { return endpoint.handle(it); });
   if (!server.listen(parseAddress(plan.Listen).value()))
     return 1;
   ioc.run();
--- a/test/standin/Engine.cpp
+++ b/test/standin/Engine.cpp
@@ -6,7 +6,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "Fabric.h"
+#include "LockStepGroup.h"
 #include "Standins.h"
 
 #include "ospreyspur/Experts/RankCodec.h"
@@ -25,7 +25,7 @@
 
 static constexpr std::int64_t DefaultTokens = 16;
 static constexpr std::size_t ExpertCount = 16;
-static constexpr double MaxStretch = 2;
+static constexpr double MaxStepFactor = 2;
 
 namespace {
 /// A request in an engine's batch.
@@ -39,19 +39,19 @@
 /// One engine of the group.
 class Engine {
 public:
-  Engine(asio::io_context &ioc, Fabric &fabric, std::size_t index)
-      : Context(ioc), Group(fabric), Index(index) {}
+  Engine(asio::io_context &ioc, LockStepGroup &group, std::size_t index)
+      : Context(ioc), Group(group), Index(index) {}
 
   asio::awaitable<void> handle(HttpExchange &exchange) {
     std::string target(exchange.request().target());
     if (target == RankOrderPath)
-      co_await takeOrder(exchange);
+      co_await handleOrder(exchange);
     else if (target == "/runs")
       co_await reply(exchange, 200, json::value_from(Runs));
     else if (target == "/fabric")
-      co_await reply(exchange, 200, describeFabric());
+      co_await reply(exchange, 200, describeGroup());
     else if (target == "/fault")
-      co_await takeFault(exchange);
+      co_await handleFault(exchange);
     else
       co_await generate(exchange);
   }
@@ -77,29 +77,30 @@
   }
 
 private:
-  asio::awaitable<void> takeOrder(HttpExchange &exchange) {
+  asio::awaitable<void> handleOrder(HttpExchange &exchange) {
     Result<RankOrder> order = parseRankOrder(exchange.request().body());
     if (!order) {
       co_await reply(exchange, 400, json::value(order.error().Detail));
       co_return;
     }
-    FabricRank &rank = Group.Ranks[Index];
-    RankReply answer = rank.Model.handle(order.value());
+    LockStepRank &rank = Group.Ranks[Index];
+    RankReply rankReply = rank.Model.handle(order.value());
     if (order.value().Kind == RankOrderKind::Report)
-      answer.State.SlotTokens = std::exchange(rank.SlotTokens, {});
-    co_await exchange.respond(200, "application/json", formatRankReply(answer));
+      rankReply.State.SlotTokens = std::exchange(rank.SlotTokens, {});
+    co_await exchange.respond(200, "application/json",
+                              formatRankReply(rankReply));
   }
 
-  asio::awaitable<void> takeFault(HttpExchange &exchange) {
+  asio::awaitable<void> handleFault(HttpExchange &exchange) {
     json::object in = bodyOf(exchange);
     Group.Ranks[Index].IsFrozen = numberOf(in, "freeze") != 0;
     Group.Ranks[Index].Model.setCanLoad(numberOf(in, "can_load", 1) != 0);
     co_await reply(exchange, 200, json::object());
   }
 
-  json::object describeFabric() const {
+  json::object describeGroup() const {
     json::array maps;
-    for (const FabricRank &it : Group.Ranks)
+    for (const LockStepRank &it : Group.Ranks)
       maps.emplace_back(it.Model.state().Running.get());
     double steps = std::max<double>(1, double(Group.Steps));
     return {{"steps", Group.Steps},
@@ -135,7 +136,7 @@
   }
 
   asio::io_context &Context;
-  Fabric &Group;
+  LockStepGroup &Group;
   std::size_t Index;
   std::list<BatchItem> Batch;
   std::map<std::string, std::int64_t> Runs;
@@ -146,28 +147,28 @@
 
 /// Runs the group's steps. The length of a step grows with the load imbalance
 /// of the ranks in the step before.
-static asio::awaitable<void> stepForever(Engines &engines, Fabric &fabric,
+static asio::awaitable<void> stepForever(Engines &engines, LockStepGroup &group,
                                          std::int64_t stepMs) {
   double skew = 1;
   for (;;) {
     co_await pause(static_cast<std::int64_t>(double(stepMs) * skew));
-    if (!fabric.advance())
+    if (!group.advance())
       continue;
     std::vector<std::uint32_t> experts(ExpertCount, 0);
     for (auto &it : engines)
       it->step(experts);
-    skew = std::min(MaxStretch, fabric.finishStep(experts));
+    skew = std::min(MaxStepFactor, group.finishStep(experts));
   }
 }
 
 int standin::runGroup(const std::vector<std::string> &listens,
                       std::int64_t stepMs, bool checksFences) {
   asio::io_context ioc(1);
-  Fabric fabric(listens.size(), checksFences);
+  LockStepGroup group(listens.size(), checksFences);
   Engines engines;
   std::vector<std::unique_ptr<HttpServer>> servers;
   for (const std::string &listen : listens) {
-    engines.push_back(std::make_unique<Engine>(ioc, fabric, engines.size()));
+    engines.push_back(std::make_unique<Engine>(ioc, group, engines.size()));
     Engine &engine = *engines.back();
     servers.push_back(std::make_unique<HttpServer>(
         ioc, HttpLimits(),
@@ -175,7 +176,7 @@
     if (!servers.back()->listen(parseAddress(listen).value()))
       return 1;
   }
-  asio::co_spawn(ioc, stepForever(engines, fabric, stepMs), asio::detached);
+  asio::co_spawn(ioc, stepForever(engines, group, stepMs), asio::detached);
   ioc.run();
   return 0;
 }
--- a/test/standin/Load.cpp
+++ b/test/standin/Load.cpp
@@ -28,14 +28,14 @@
 namespace http = boost::beast::http;
 
 static constexpr Duration IdleTimeout = std::chrono::seconds(30);
-static constexpr std::size_t MaxTries = 4;
+static constexpr std::size_t MaxAttempts = 4;
 static constexpr std::int64_t RetryMs = 700;
 
 namespace {
 struct CallRecord {
   std::string Id;
   std::string Kind;
-  std::string Told = "cut";
+  std::string Outcome = "cut";
   unsigned Status = 0;
   double FirstMs = 0;
   double TotalMs = 0;
@@ -84,19 +84,19 @@
       std::move(request), sink, std::make_shared<HttpRunHandle>(), IdleTimeout);
   record.TotalMs = millisSince(began);
   if (code == ResultCode::EndpointUnreachable)
-    record.Told = "unreachable";
+    record.Outcome = "unreachable";
   if (code != ResultCode::Ok)
     co_return;
-  record.Told = record.Status == 200 ? "complete" : "failed";
+  record.Outcome = record.Status == 200 ? "complete" : "failed";
   for (const char *word : {"not-run", "unknown", "rejected"})
     if (record.Status != 200 &&
         body.find("\"" + std::string(word) + "\"") != std::string::npos)
-      record.Told = word;
+      record.Outcome = word;
 }
 
 /// A request with an idempotency key is retried at the next entry until the
-/// response is complete, at most MaxTries attempts in all. Each attempt has its
-/// own record.
+/// response is complete, at most MaxAttempts attempts in all. Each attempt has
+/// its own record.
 static asio::awaitable<void> sendWithRetries(std::vector<HttpClient> &clients,
                                              std::size_t first,
                                              HttpRequest request,
@@ -104,9 +104,9 @@
                                              std::list<CallRecord> &records) {
   bool hasKey = request.count("Idempotency-Key") > 0;
   CallRecord *current = &record;
-  for (std::size_t i = 0; i < MaxTries; ++i) {
+  for (std::size_t i = 0; i < MaxAttempts; ++i) {
     co_await sendOne(clients[(first + i) % clients.size()], request, *current);
-    if (!hasKey || current->Told == "complete" || i + 1 == MaxTries)
+    if (!hasKey || current->Outcome == "complete" || i + 1 == MaxAttempts)
       co_return;
     co_await pause(RetryMs);
     CallRecord &next = records.emplace_back();
@@ -190,8 +190,8 @@
 static int printTable(const std::list<CallRecord> &records) {
   std::map<std::string, std::vector<const CallRecord *>> rows;
   for (const CallRecord &it : records)
-    rows[it.Kind + " " + it.Told].push_back(&it);
-  std::size_t whole = 0;
+    rows[it.Kind + " " + it.Outcome].push_back(&it);
+  std::size_t completeCount = 0;
   std::printf("%-22s %7s %10s %10s %10s %10s\n", "kind and outcome", "count",
               "first p50", "first p95", "total p50", "total p95");
   for (const auto &[name, row] : rows) {
@@ -200,14 +200,14 @@
     for (const CallRecord *it : row) {
       first.push_back(it->FirstMs);
       total.push_back(it->TotalMs);
-      whole += it->Told == "complete";
+      completeCount += it->Outcome == "complete";
     }
     std::printf("%-22s %7zu %7.1f ms %7.1f ms %7.1f ms %7.1f ms\n",
                 name.c_str(), row.size(), percentile(first, 0.5),
                 percentile(first, 0.95), percentile(total, 0.5),
                 percentile(total, 0.95));
   }
-  return whole == records.size() ? 0 : 1;
+  return completeCount == records.size() ? 0 : 1;
 }
 
 int standin::runLoad(const LoadPlan &plan) {
@@ -218,11 +218,12 @@
   std::list<CallRecord> records;
   Balancer balancer(clients.size());
   std::list<HttpClient> admins;
-  for (std::size_t i = 0; i < plan.Admins.size(); ++i)
+  for (std::size_t i = 0; i < plan.AdminAddresses.size(); ++i)
     asio::co_spawn(
         ioc,
-        balancer.watch(
-            admins.emplace_back(ioc, parseAddress(plan.Admins[i]).value()), i),
+        balancer.watch(admins.emplace_back(
+                           ioc, parseAddress(plan.AdminAddresses[i]).value()),
+                       i),
         asio::detached);
   asio::co_spawn(ioc, sendAll(plan, balancer, clients, records),
                  asio::detached);
@@ -232,7 +233,7 @@
     for (const CallRecord &it : records)
       os << json::serialize(json::object{{"id", it.Id},
                                          {"kind", it.Kind},
-                                         {"told", it.Told},
+                                         {"told", it.Outcome},
                                          {"status", it.Status},
                                          {"total_ms", it.TotalMs}})
          << '\n';
--- a/test/standin/Platform.cpp
+++ b/test/standin/Platform.cpp
@@ -125,7 +125,7 @@
     if (path == "/ospreyspur/kv-lease")
       return grant(in, out);
     if (path.starts_with("/ospreyspur/kv-keep/"))
-      return keep(idOf(path), out);
+      return renew(idOf(path), out);
     return 400;
   }
 
@@ -193,7 +193,7 @@
     for (const json::value &it : arrayOf(in, "remove"))
       remove(std::string(it.as_string()));
     out = {{"rev", LastRevision}};
-    wake();
+    wakeWatches();
     return 200;
   }
 
@@ -225,7 +225,7 @@
     return 200;
   }
 
-  unsigned keep(std::uint64_t id, json::object &out) {
+  unsigned renew(std::uint64_t id, json::object &out) {
     auto it = Leases.find(id);
     if (it == Leases.end())
       return 404;
@@ -263,7 +263,7 @@
     co_await timer->async_wait(asio::redirect_error(asio::use_awaitable, ec));
   }
 
-  void wake() {
+  void wakeWatches() {
     for (const auto &it : std::exchange(Waiting, {}))
       it->cancel();
   }
--- a/test/standin/Service.cpp
+++ b/test/standin/Service.cpp
@@ -4,7 +4,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "Need.h"
+#include "FakePushback.h"
 #include "Standins.h"
 
 #include <fstream>
@@ -21,13 +21,14 @@
                         const std::string &history) {
   asio::io_context ioc(1);
   std::map<std::string, std::int64_t> runs;
-  Need asked({"Ospreyspur-Rate-Limit", "Ospreyspur-Leaving"}, history);
+  FakePushback pushback({"Ospreyspur-Rate-Limit", "Ospreyspur-Leaving"},
+                        history);
   auto handle = [&](HttpExchange &exchange) -> asio::awaitable<void> {
     std::string target(exchange.request().target());
     json::object out;
     if (target == "/need") {
       json::object in = bodyOf(exchange);
-      asked.order(in, monotonicNow());
+      pushback.configure(in, monotonicNow());
       co_await reply(exchange, 200, out);
       if (numberOf(in, "leaving") > 0) {
         co_await pause(LeaveMs);
@@ -41,11 +42,11 @@
       co_await reply(exchange, 200, out);
       co_return;
     }
-    HttpResponse answer;
-    if (asked.onRequest(monotonicNow())) {
-      answer.result(503);
-      asked.addTo(answer, monotonicNow());
-      co_await exchange.respond(std::move(answer));
+    HttpResponse response;
+    if (pushback.onRequest(monotonicNow())) {
+      response.result(503);
+      pushback.addTo(response, monotonicNow());
+      co_await exchange.respond(std::move(response));
       co_return;
     }
     std::string id = textOf(bodyOf(exchange), "id");
@@ -59,11 +60,11 @@
     if (isDeadly)
       ::_exit(DeadlyExit);
     out = {{"id", id}, {"run", n}, {"path", target}};
-    answer.result(200);
-    answer.set("Content-Type", "application/json");
-    asked.addTo(answer, monotonicNow());
-    answer.body() = json::serialize(out);
-    co_await exchange.respond(std::move(answer));
+    response.result(200);
+    response.set("Content-Type", "application/json");
+    pushback.addTo(response, monotonicNow());
+    response.body() = json::serialize(out);
+    co_await exchange.respond(std::move(response));
   };
   HttpServer server(ioc, HttpLimits(), handle);
   if (!server.listen(parseAddress(listen).value()))
--- a/test/standin/Standins.h
+++ b/test/standin/Standins.h
@@ -75,11 +75,11 @@
   std::string HistoryFile;
   /// Admin addresses of Entries. An entry that is not ready is skipped, as by
   /// the platform's load balancer. If empty, all entries are used.
-  std::vector<std::string> Admins;
+  std::vector<std::string> AdminAddresses;
 };
 
 /// Parameters of a platform endpoint that crashes on the deadly body.
-struct MortalPlan {
+struct CrashableEndpointPlan {
   std::string Listen;
   std::string Platform;
   std::string Name;
@@ -88,13 +88,13 @@
 };
 
 /// Runs the endpoint until its process exits.
-int runMortal(const MortalPlan &plan);
+int runCrashableEndpoint(const CrashableEndpointPlan &plan);
 
 /// Parameters of a load run with keep-alive connections.
-struct CrowdPlan {
+struct ClosedLoopPlan {
   std::vector<std::string> Entries;
   /// Addresses of the readiness probes of Entries.
-  std::vector<std::string> Readies;
+  std::vector<std::string> ReadinessAddresses;
   std::int64_t Callers = 32;
   std::int64_t Seconds = 10;
   std::uint64_t Seed = 1;
@@ -107,7 +107,7 @@
 };
 
 /// Runs the callers and prints the count of each outcome.
-int runCrowd(const CrowdPlan &plan);
+int runClosedLoop(const ClosedLoopPlan &plan);
 
 /// Compares a history with the records of the endpoints at \p runs. Prints each
 /// violated guarantee and returns their number.
--- a/test/standin/Verify.cpp
+++ b/test/standin/Verify.cpp
@@ -51,23 +51,23 @@
   }
   ioc.run();
 
-  std::map<std::string, std::set<std::string>> told;
+  std::map<std::string, std::set<std::string>> outcomes;
   std::ifstream is(historyFile);
   for (std::string line; std::getline(is, line);) {
     json::value row = json::parse(line);
     if (row.at("kind").as_string() == "service")
-      told[std::string(row.at("id").as_string())].insert(
+      outcomes[std::string(row.at("id").as_string())].insert(
           std::string(row.at("told").as_string()));
   }
-  int broken = 0;
+  int violations = 0;
   auto report = [&](const std::string &id, const char *what) {
     std::printf("violation: %s %s\n", id.c_str(), what);
-    ++broken;
+    ++violations;
   };
   for (const auto &[id, n] : runs)
     if (n > 1)
       report(id, "ran more than once");
-  for (const auto &[id, words] : told) {
+  for (const auto &[id, words] : outcomes) {
     bool hasRun = runs.contains(id);
     if (hasRun && words == std::set<std::string>{"not-run"})
       report(id, "was reported as not-run but ran");
@@ -76,6 +76,6 @@
   }
   std::printf(
       "verified %zu ids that must run at most once, %zu ran, %d violations\n",
-      told.size(), runs.size(), broken);
-  return broken;
+      outcomes.size(), runs.size(), violations);
+  return violations;
 }
--- a/test/standin/main.cpp
+++ b/test/standin/main.cpp
@@ -96,13 +96,13 @@
     if (name.getValue() == "service")
       return runService(listen, delayMs.getValue(), history.getValue());
     if (name.getValue() == "mortal")
-      return runMortal({listen, platform.getValue(), ownName.getValue(),
-                        history.getValue()});
+      return runCrashableEndpoint({listen, platform.getValue(),
+                                   ownName.getValue(), history.getValue()});
     if (name.getValue() == "crowd")
-      return runCrowd({address.getValue(), ready.getValue(), callers.getValue(),
-                       seconds.getValue(),
-                       static_cast<std::uint64_t>(seed.getValue()),
-                       deadly.getValue(), key.getValue(), service.getValue()});
+      return runClosedLoop(
+          {address.getValue(), ready.getValue(), callers.getValue(),
+           seconds.getValue(), static_cast<std::uint64_t>(seed.getValue()),
+           deadly.getValue(), key.getValue(), service.getValue()});
     if (name.getValue() == "verify")
       return verifyHistory(history.getValue(), address.getValue());
     LoadPlan plan{
--- a/tools/ospreyspur/ospreyspur.cpp
+++ b/tools/ospreyspur/ospreyspur.cpp
@@ -92,11 +92,12 @@
 }
 
 /// Prints the error of a role that could not start; returns the exit status.
-static int exitStatus(const Result<void> &ended) {
-  if (ended)
+static int exitStatus(const Result<void> &result) {
+  if (result)
     return 0;
-  std::cerr << "ospreyspur: error " << static_cast<unsigned>(ended.error().Code)
-            << ": " << ended.error().Detail << '\n';
+  std::cerr << "ospreyspur: error "
+            << static_cast<unsigned>(result.error().Code) << ": "
+            << result.error().Detail << '\n';
   return 1;
 }
 
--- a/utils/bench/SpreadBench.cpp
+++ b/utils/bench/GossipBench.cpp
@@ -1,11 +1,11 @@
-//===- SpreadBench.cpp - speed and cost of gossip -------------------------===//
+//===- GossipBench.cpp - speed and cost of gossip -------------------------===//
 //
 // Drives the shipped GossipNodes of a whole fleet on virtual time. Links take
 // up to 3 ms. The real codec determines message sizes.
 //
 //===----------------------------------------------------------------------===//
 
-#include "SpreadBench.h"
+#include "GossipBench.h"
 
 #include "Config/GossipWorld.h"
 
@@ -23,13 +23,13 @@
 
 static constexpr FleetShape Fleet{6, 100, 62};
 static constexpr std::size_t ConfigBytes = 172000;
-static constexpr Duration Patience = seconds(60);
+static constexpr Duration MaxWait = seconds(60);
 
 namespace {
 /// Platform calls, messages and bytes of the fleet since construction.
-class Meter {
+class TrafficMeter {
 public:
-  explicit Meter(GossipWorld &world)
+  explicit TrafficMeter(GossipWorld &world)
       : World(world), Began(world.Scheduler.now()), Calls(world.PlatformCalls) {
     for (const GossipWorld::Node &it : world.Nodes)
       Before.push_back({it.BytesOut, it.MessagesOut});
@@ -63,9 +63,9 @@
 };
 
 /// A fleet after 10 s of startup, with message sizes from the codec.
-class BenchWorld : public GossipWorld {
+class BenchFleet : public GossipWorld {
 public:
-  BenchWorld(unsigned lossPercent, unsigned latePercent)
+  BenchFleet(unsigned lossPercent, unsigned latePercent)
       : GossipWorld(1, Fleet, lossPercent, latePercent) {
     SizeOf = [](const GossipMessage &message) {
       wire::Message out;
@@ -79,10 +79,10 @@
 
   /// Writes a configuration and waits until it is in force.
   void change(const char *name) {
-    Meter meter(*this);
+    TrafficMeter meter(*this);
     std::string value(ConfigBytes, static_cast<char>('a' + ++Changes));
     Revision at = write(SharedKey::Config, value);
-    Duration span = awaitInForce(SharedKey::Config, at, Patience);
+    Duration span = awaitInForce(SharedKey::Config, at, MaxWait);
     std::printf("%s: in force on all nodes after %.2f s\n", name,
                 std::chrono::duration<double>(span).count());
     meter.print("  the change");
@@ -93,12 +93,12 @@
 };
 } // namespace
 
-void bench::benchSpread() {
+void bench::benchGossip() {
   {
-    BenchWorld world(0, 0);
+    BenchFleet world(0, 0);
     std::printf("%zu nodes in %zu data centres\n", world.Nodes.size(),
                 Fleet.DataCentres);
-    Meter idle(world);
+    TrafficMeter idle(world);
     auto cpu = std::clock();
     world.run(seconds(60));
     double spent = double(std::clock() - cpu) / CLOCKS_PER_SEC;
@@ -116,20 +116,20 @@
     for (std::size_t d : {0, 1, 2})
       world.cutFromPlatform(d, seconds(600));
     world.change("a region cut off from the platform");
-    Meter outage(world);
+    TrafficMeter outage(world);
     world.setOutage(seconds(60));
     world.run(seconds(60));
     outage.print("platform outage of a minute");
     world.change("platform outage just over");
   }
   {
-    BenchWorld world(1, 5);
+    BenchFleet world(1, 5);
     world.change("1% of messages lost, 1% duplicated, 5% up to 0.9 s late");
   }
   {
     // The agents of a data centre leave the host list one by one in a minute.
-    BenchWorld world(0, 0);
-    Meter meter(world);
+    BenchFleet world(0, 0);
+    TrafficMeter meter(world);
     std::vector<std::size_t> gone;
     for (std::size_t i = 0; i < Fleet.Agents; ++i) {
       gone.push_back(i);
--- a/utils/bench/PickerBench.cpp
+++ b/utils/bench/PickerBench.cpp
@@ -6,7 +6,7 @@
 
 #include "PickerBench.h"
 
-#include "PickerWorld.h"
+#include "PickerSimulation.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -26,7 +26,7 @@
   return values[static_cast<std::size_t>(part * double(values.size() - 1))];
 }
 
-static Deployment makeToday() {
+static Deployment makeCurrentDeployment() {
   Deployment it;
   it.Name = "today: 5 entries, 16 endpoints in 2 groups";
   it.Entries = 5;
@@ -51,9 +51,9 @@
   return it;
 }
 
-/// Differs from makeToday() in size and in the engines' step times.
-static Deployment makeLarge() {
-  Deployment it = makeToday();
+/// Differs from makeCurrentDeployment() in size and in the engines' step times.
+static Deployment makePlannedDeployment() {
+  Deployment it = makeCurrentDeployment();
   it.Name = "planned: 370 entries, 600 endpoints in 10 groups";
   it.Entries = 370;
   it.Endpoints = 600;
@@ -109,12 +109,13 @@
       {"3 probes, load, prefix 16", Shipped, 3, true, both(16)},
       {"5 probes, load, prefix 4", Shipped, 5, true, both(4)},
   };
-  for (const Deployment &deployment : {makeToday(), makeLarge()}) {
+  for (const Deployment &deployment :
+       {makeCurrentDeployment(), makePlannedDeployment()}) {
     std::printf(
         "%s\n(time to first token p50 p95 p99; between tokens p50 p95)\n",
         deployment.Name);
     for (const Method &it : methods) {
-      PickerResult result = PickerWorld(deployment, it, Seed).run();
+      PickerResult result = PickerSimulation(deployment, it, Seed).run();
       print(it, result);
     }
   }
@@ -124,7 +125,7 @@
   constexpr double Capacity = 150;
   const Method shipped{"shipped", Method::Kind::Shipped, 3, true,
                        PickerWeights()};
-  Deployment base = makeToday();
+  Deployment base = makeCurrentDeployment();
   base.Span = seconds(40);
   base.BurstFactor = 1;
   base.SlowFactor = 1;
@@ -134,16 +135,16 @@
   for (double factor : {0.5, 0.8, 1.0, 1.5, 2.0, 3.0, 4.0}) {
     Deployment it = base;
     it.Rate = factor * Capacity;
-    PickerResult result = PickerWorld(it, shipped, Seed).run();
+    PickerResult result = PickerSimulation(it, shipped, Seed).run();
     double span = std::chrono::duration<double>(it.Span).count();
-    std::printf("offered %4.0f/s: complete %5.1f/s, first token p50 %5.0f p99 "
-                "%5.0f ms, refused %5.1f/s after p50 %5.0f p99 %5.0f ms, cut "
-                "%.1f/s\n",
-                it.Rate, double(result.Whole) / span,
-                percentile(result.FirstMs, 0.5),
-                percentile(result.FirstMs, 0.99), double(result.Refused) / span,
-                percentile(result.RefusedMs, 0.5),
-                percentile(result.RefusedMs, 0.99), double(result.Cut) / span);
+    std::printf(
+        "offered %4.0f/s: complete %5.1f/s, first token p50 %5.0f p99 "
+        "%5.0f ms, refused %5.1f/s after p50 %5.0f p99 %5.0f ms, cut "
+        "%.1f/s\n",
+        it.Rate, double(result.Completed) / span,
+        percentile(result.FirstMs, 0.5), percentile(result.FirstMs, 0.99),
+        double(result.Refused) / span, percentile(result.RefusedMs, 0.5),
+        percentile(result.RefusedMs, 0.99), double(result.Truncated) / span);
   }
   std::printf("other workspaces at %.0f/s beside a flood of one workspace\n",
               Capacity / 2);
@@ -151,7 +152,7 @@
     Deployment it = base;
     it.Rate = Capacity / 2;
     it.FloodRate = flood * Capacity;
-    PickerResult result = PickerWorld(it, shipped, Seed).run();
+    PickerResult result = PickerSimulation(it, shipped, Seed).run();
     std::printf("flood %4.0f/s: others' first token p50 %5.0f p95 %5.0f p99 "
                 "%5.0f ms, refused %zu of %zu\n",
                 it.FloodRate, percentile(result.FirstMs, 0.5),
--- a/utils/bench/PickerWorld.cpp
+++ b/utils/bench/PickerSimulation.cpp
@@ -1,10 +1,10 @@
-//===- PickerWorld.cpp - simulation of a deployment -----------------------===//
+//===- PickerSimulation.cpp - simulation of a deployment ------------------===//
 //
-// See PickerWorld.h.
+// See PickerSimulation.h.
 //
 //===----------------------------------------------------------------------===//
 
-#include "PickerWorld.h"
+#include "PickerSimulation.h"
 
 #include <algorithm>
 #include <cmath>
@@ -23,13 +23,13 @@
   return std::chrono::duration<double, std::milli>(it).count();
 }
 
-PickerWorld::PickerWorld(const Deployment &deployment, const Method &method,
-                         std::uint64_t seed)
-    : Plan(deployment), How(method), Scheduler(seed, 0), Random(seed),
-      Began(Scheduler.now()), Everyone(std::make_shared<RoutingSnapshot>()),
+PickerSimulation::PickerSimulation(const Deployment &deployment,
+                                   const Method &method, std::uint64_t seed)
+    : Plan(deployment), Picking(method), Scheduler(seed, 0), Random(seed),
+      Began(Scheduler.now()), AllEndpoints(std::make_shared<RoutingSnapshot>()),
       Endpoints(Plan.Endpoints), Entries(Plan.Entries),
       IsStepping(Plan.Endpoints / Plan.GroupSize) {
-  ServiceView &service = Everyone->Services[model];
+  ServiceView &service = AllEndpoints->Services[model];
   service = {ServiceKind::Model, true, {}};
   for (std::size_t i = 0; i < Endpoints.size(); ++i) {
     Endpoint &it = Endpoints[i];
@@ -45,40 +45,40 @@
     service.Endpoints.push_back(view);
     auto alone = std::make_shared<RoutingSnapshot>();
     alone->Services[model] = {ServiceKind::Model, true, {view}};
-    it.Alone = alone;
+    it.SingleEndpoint = alone;
   }
   for (std::size_t i = 0; i < Entries.size(); ++i) {
     EntryLimits limits;
-    limits.Probes = How.Probes;
-    limits.Weights = How.Weights;
+    limits.Probes = Picking.Probes;
+    limits.Weights = Picking.Weights;
     DataCentreId place("d" + std::to_string(i % Plan.DataCentres));
     Entries[i].Node = std::make_unique<EntryNode>(place, limits, seed + i);
-    Entries[i].Node->setSnapshot(Everyone);
-    Entries[i].Turn = Random();
+    Entries[i].Node->setSnapshot(AllEndpoints);
+    Entries[i].NextRoundRobin = Random();
   }
   for (std::size_t i = 0; i < Plan.Prefixes; ++i)
     PrefixWeights.push_back(1.0 / std::pow(double(i + 1), PrefixSkew));
 }
 
-PickerResult PickerWorld::run() {
+PickerResult PickerSimulation::run() {
   report();
   arrive(false);
   if (Plan.FloodRate > 0)
     arrive(true);
-  while (!HasAllArrived || Open > 0)
+  while (!HasAllArrived || OpenCalls > 0)
     Scheduler.runUntil(Scheduler.now() + std::chrono::seconds(1));
   return std::move(Totals);
 }
 
 /// Refreshes the endpoint loads that LeastKnown uses.
-void PickerWorld::report() {
+void PickerSimulation::report() {
   for (Endpoint &it : Endpoints)
     it.KnownLoad = it.Agent->runningCount() + it.Agent->queuedCount();
   if (!HasAllArrived)
-    Scheduler.at(Scheduler.now() + How.ReportEvery, [this] { report(); });
+    Scheduler.at(Scheduler.now() + Picking.ReportEvery, [this] { report(); });
 }
 
-void PickerWorld::arrive(bool isFlood) {
+void PickerSimulation::arrive(bool isFlood) {
   TimePoint now = Scheduler.now();
   if (now - Began >= Plan.Span) {
     HasAllArrived = true;
@@ -91,10 +91,10 @@
   std::exponential_distribution<double> gap(rate);
   Scheduler.at(now + Duration(std::int64_t(gap(Random) * 1e6)),
                [this, isFlood] { arrive(isFlood); });
-  ask(isFlood);
+  sendCall(isFlood);
 }
 
-void PickerWorld::ask(bool isFlood) {
+void PickerSimulation::sendCall(bool isFlood) {
   TimePoint now = Scheduler.now();
   std::size_t i = Random() % Entries.size();
   Entry &entry = Entries[i];
@@ -106,20 +106,20 @@
   request.Service = model;
   request.IsRepeatable = true;
   request.Deadline = Plan.Deadline;
-  request.Prefix = How.UsesPrefix ? prefix : 0;
+  request.Prefix = Picking.UsesPrefix ? prefix : 0;
   request.Body = std::to_string(prefix);
-  if (How.What != Method::Kind::Shipped)
-    entry.Node->setSnapshot(Endpoints[pickOutside(entry)].Alone);
-  Totals.Messages += How.ExtraMessages;
+  if (Picking.Strategy != Method::Kind::Shipped)
+    entry.Node->setSnapshot(Endpoints[pickEndpoint(entry)].SingleEndpoint);
+  Totals.Messages += Picking.ExtraMessages;
   entry.Calls[request.Id] = {now, {}, isFlood};
-  ++Open;
+  ++OpenCalls;
   apply(i, entry.Node->onCall(std::move(request), now));
 }
 
-std::size_t PickerWorld::pickOutside(Entry &entry) {
-  if (How.What == Method::Kind::RoundRobin)
-    return entry.Turn++ % Endpoints.size();
-  if (How.What == Method::Kind::LeastKnown) {
+std::size_t PickerSimulation::pickEndpoint(Entry &entry) {
+  if (Picking.Strategy == Method::Kind::RoundRobin)
+    return entry.NextRoundRobin++ % Endpoints.size();
+  if (Picking.Strategy == Method::Kind::LeastKnown) {
     std::size_t first = Random() % Endpoints.size();
     std::size_t best = first;
     for (std::size_t k = 0; k < Endpoints.size(); ++k) {
@@ -141,22 +141,23 @@
                                                  free.end())(Random);
 }
 
-std::uint64_t PickerWorld::drawPrefix() {
+std::uint64_t PickerSimulation::drawPrefix() {
   std::discrete_distribution<std::uint64_t> draw(PrefixWeights.begin(),
                                                  PrefixWeights.end());
   return draw(Random) + 1;
 }
 
-Duration PickerWorld::delay(std::size_t entry, std::size_t endpoint) const {
+Duration PickerSimulation::delay(std::size_t entry,
+                                 std::size_t endpoint) const {
   bool isNear = entry % Plan.DataCentres == endpoint % Plan.DataCentres;
   return isNear ? NearDelay : FarDelay;
 }
 
-void PickerWorld::apply(std::size_t i, const EntryActions &actions) {
+void PickerSimulation::apply(std::size_t i, const EntryActions &actions) {
   for (const EntryAction &action : actions) {
     const auto *send = std::get_if<SendToAgent>(&action);
     if (!send) {
-      onAnswer(i, action);
+      onEntryAction(i, action);
       continue;
     }
     ++Totals.Messages;
@@ -169,7 +170,7 @@
   setTimer(i);
 }
 
-void PickerWorld::setTimer(std::size_t i) {
+void PickerSimulation::setTimer(std::size_t i) {
   if (auto due = Entries[i].Node->nextTimer())
     Scheduler.at(*due, [this, i, due] {
       if (Entries[i].Node->nextTimer() == due)
@@ -177,13 +178,13 @@
     });
 }
 
-void PickerWorld::onAnswer(std::size_t i, const EntryAction &action) {
+void PickerSimulation::onEntryAction(std::size_t i, const EntryAction &action) {
   TimePoint now = Scheduler.now();
   auto &calls = Entries[i].Calls;
   if (const auto *data = std::get_if<AnswerData>(&action)) {
     Call &call = calls.at(data->Call);
-    if (call.First == TimePoint())
-      call.First = now;
+    if (call.FirstToken == TimePoint())
+      call.FirstToken = now;
     return;
   }
   const auto *end = std::get_if<AnswerEnd>(&action);
@@ -193,10 +194,10 @@
   CallId id = end ? end->Call : error->Call;
   Call call = calls.at(id);
   calls.erase(id);
-  --Open;
-  bool hasBegun = call.First != TimePoint();
-  Totals.Whole += end != nullptr;
-  Totals.Cut += error && hasBegun;
+  --OpenCalls;
+  bool hasBegun = call.FirstToken != TimePoint();
+  Totals.Completed += end != nullptr;
+  Totals.Truncated += error && hasBegun;
   if (call.IsFlood)
     return;
   if (error) {
@@ -204,11 +205,12 @@
     Totals.RefusedMs.push_back(toMs(now - call.Began));
     return;
   }
-  Totals.FirstMs.push_back(toMs(call.First - call.Began));
-  Totals.BetweenMs.push_back(toMs(now - call.First) / double(Plan.Tokens - 1));
+  Totals.FirstMs.push_back(toMs(call.FirstToken - call.Began));
+  Totals.BetweenMs.push_back(toMs(now - call.FirstToken) /
+                             double(Plan.Tokens - 1));
 }
 
-void PickerWorld::apply(std::size_t k, const AgentActions &actions) {
+void PickerSimulation::apply(std::size_t k, const AgentActions &actions) {
   for (const AgentAction &action : actions) {
     if (const auto *run = std::get_if<StartRun>(&action))
       startRun(k, *run);
@@ -225,7 +227,7 @@
   }
 }
 
-void PickerWorld::startRun(std::size_t k, const StartRun &run) {
+void PickerSimulation::startRun(std::size_t k, const StartRun &run) {
   Endpoint &endpoint = Endpoints[k];
   std::uint64_t prefix = std::stoull(run.Body);
   auto &cached = endpoint.Cached;
@@ -246,7 +248,7 @@
 }
 
 /// Begins a step of all ranks, which lasts as long as the slowest rank needs.
-void PickerWorld::step(std::size_t group) {
+void PickerSimulation::step(std::size_t group) {
   std::size_t most = 0;
   std::size_t sum = 0;
   double prefill = 0;
@@ -272,26 +274,26 @@
                [this, group] { endStep(group); });
 }
 
-void PickerWorld::endStep(std::size_t group) {
+void PickerSimulation::endStep(std::size_t group) {
   TimePoint now = Scheduler.now();
   for (std::size_t k = 0; k < Plan.GroupSize; ++k) {
     std::size_t i = group * Plan.GroupSize + k;
     Endpoint &it = Endpoints[i];
-    std::vector<RequestId> spoken;
+    std::vector<RequestId> sending;
     std::vector<RequestId> done;
     for (Job &job : it.Jobs) {
-      if (!std::exchange(job.HasFirst, true))
+      if (!std::exchange(job.HasStarted, true))
         apply(i, it.Agent->onRunHead(job.Id, 200, "text/event-stream", now));
       // Sends one chunk for every TokensPerChunk tokens: chunks for each token
       // would slow the benchmark down, and no chunks at all would let the call
       // time out as stalled.
-      if (job.Left-- % TokensPerChunk == Plan.Tokens % TokensPerChunk)
-        spoken.push_back(job.Id);
-      if (job.Left == 0)
+      if (job.TokensLeft-- % TokensPerChunk == Plan.Tokens % TokensPerChunk)
+        sending.push_back(job.Id);
+      if (job.TokensLeft == 0)
         done.push_back(job.Id);
     }
-    std::erase_if(it.Jobs, [](const Job &job) { return job.Left == 0; });
-    for (RequestId id : spoken)
+    std::erase_if(it.Jobs, [](const Job &job) { return job.TokensLeft == 0; });
+    for (RequestId id : sending)
       apply(i, it.Agent->onRunData(id, "t", now));
     for (RequestId id : done)
       apply(i, it.Agent->onRunEnd(id, ResultCode::Ok, now));
--- a/utils/bench/PickerWorld.h
+++ b/utils/bench/PickerSimulation.h
@@ -1,4 +1,4 @@
-//===- PickerWorld.h - simulation of a deployment ---------------*- C++ -*-===//
+//===- PickerSimulation.h - simulation of a deployment ----------*- C++ -*-===//
 //
 // The shipped EntryNodes and AgentNodes on virtual time, in front of a simple
 // model of engines: ranks of a group step together, a step lasts as long as its
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_BENCH_PICKERWORLD_H
-#define OSPREYSPUR_BENCH_PICKERWORLD_H
+#ifndef OSPREYSPUR_BENCH_PICKERSIMULATION_H
+#define OSPREYSPUR_BENCH_PICKERSIMULATION_H
 
 #include "RandomScheduler.h"
 
@@ -64,7 +64,7 @@
 struct Method {
   enum class Kind { Shipped, RoundRobin, LeastKnown, FreeCapacityWalk };
   const char *Name = "";
-  Kind What = Kind::Shipped;
+  Kind Strategy = Kind::Shipped;
   std::size_t Probes = 1;
   bool UsesPrefix = false;
   PickerWeights Weights;
@@ -80,9 +80,9 @@
   std::vector<double> BetweenMs;
   std::size_t Refused = 0;
   /// Responses that were complete before their deadline, including the flood's.
-  std::size_t Whole = 0;
+  std::size_t Completed = 0;
   /// Calls whose response started but did not complete.
-  std::size_t Cut = 0;
+  std::size_t Truncated = 0;
   std::vector<double> RefusedMs;
   std::size_t Hits = 0;
   std::size_t Runs = 0;
@@ -92,10 +92,10 @@
 };
 
 /// Simulates one run of one method.
-class PickerWorld {
+class PickerSimulation {
 public:
-  PickerWorld(const Deployment &deployment, const Method &method,
-              std::uint64_t seed);
+  PickerSimulation(const Deployment &deployment, const Method &method,
+                   std::uint64_t seed);
 
   /// Runs until all arrivals have ended.
   PickerResult run();
@@ -104,9 +104,9 @@
   /// A request that an engine is processing.
   struct Job {
     RequestId Id;
-    std::size_t Left = 0;
+    std::size_t TokensLeft = 0;
     std::size_t Prefill = 0;
-    bool HasFirst = false;
+    bool HasStarted = false;
   };
   struct Endpoint {
     EndpointId Id;
@@ -114,27 +114,27 @@
     std::vector<Job> Jobs;
     std::deque<std::uint64_t> Cached;
     std::size_t KnownLoad = 0;
-    std::shared_ptr<const RoutingSnapshot> Alone;
+    std::shared_ptr<const RoutingSnapshot> SingleEndpoint;
   };
   struct Call {
     TimePoint Began;
-    TimePoint First;
+    TimePoint FirstToken;
     bool IsFlood = false;
   };
   struct Entry {
     std::unique_ptr<EntryNode> Node;
     std::map<CallId, Call> Calls;
-    std::size_t Turn = 0;
+    std::size_t NextRoundRobin = 0;
   };
 
   void arrive(bool isFlood);
-  void ask(bool isFlood);
-  std::size_t pickOutside(Entry &entry);
+  void sendCall(bool isFlood);
+  std::size_t pickEndpoint(Entry &entry);
   std::uint64_t drawPrefix();
   Duration delay(std::size_t entry, std::size_t endpoint) const;
   void apply(std::size_t i, const EntryActions &actions);
   void apply(std::size_t i, const AgentActions &actions);
-  void onAnswer(std::size_t i, const EntryAction &action);
+  void onEntryAction(std::size_t i, const EntryAction &action);
   void startRun(std::size_t i, const StartRun &run);
   void step(std::size_t group);
   void endStep(std::size_t group);
@@ -142,16 +142,16 @@
   void report();
 
   Deployment Plan;
-  Method How;
+  Method Picking;
   test::RandomScheduler Scheduler;
   std::mt19937_64 Random;
   TimePoint Began;
-  std::shared_ptr<RoutingSnapshot> Everyone;
+  std::shared_ptr<RoutingSnapshot> AllEndpoints;
   std::vector<Endpoint> Endpoints;
   std::vector<Entry> Entries;
   std::vector<bool> IsStepping;
   std::vector<double> PrefixWeights;
-  std::size_t Open = 0;
+  std::size_t OpenCalls = 0;
   std::uint64_t LastCall = 0;
   bool HasAllArrived = false;
   PickerResult Totals;
@@ -159,4 +159,4 @@
 
 } // namespace ospreyspur::bench
 
-#endif // OSPREYSPUR_BENCH_PICKERWORLD_H
+#endif // OSPREYSPUR_BENCH_PICKERSIMULATION_H
--- a/utils/bench/bench.cpp
+++ b/utils/bench/bench.cpp
@@ -9,8 +9,8 @@
 //
 //===----------------------------------------------------------------------===//
 
+#include "GossipBench.h"
 #include "PickerBench.h"
-#include "SpreadBench.h"
 
 #include "ospreyspur/Config/ConfigDocument.h"
 #include "ospreyspur/Experts/ExpertPlanner.h"
@@ -72,13 +72,13 @@
       MapPlan first = planner.plan(map, drawDemand(shape, 1));
       double cold = secondsSince(began);
       // A demand that has changed slightly since the first plan.
-      ExpertDemand turned = drawDemand(shape, 1);
+      ExpertDemand changed = drawDemand(shape, 1);
       ExpertDemand other = drawDemand(shape, 2);
-      for (std::size_t i = 0; i < turned.size(); ++i)
-        for (std::size_t k = 0; k < turned[i].size(); ++k)
-          turned[i][k] = 0.95 * turned[i][k] + 0.05 * other[i][k];
+      for (std::size_t i = 0; i < changed.size(); ++i)
+        for (std::size_t k = 0; k < changed[i].size(); ++k)
+          changed[i][k] = 0.95 * changed[i][k] + 0.05 * other[i][k];
       began = monotonicNow();
-      MapPlan next = planner.plan(first.Map, turned);
+      MapPlan next = planner.plan(first.Map, changed);
       double warm = secondsSince(began);
       std::printf("plan ranks=%zu move_weight=%.4f first: %.0f ms skew "
                   "%.2f->%.2f moves %zu; after a small change: %.0f ms skew "
@@ -296,7 +296,7 @@
     return 0;
   }
   if (argc > 1 && std::string(argv[1]) == "spread") {
-    bench::benchSpread();
+    bench::benchGossip();
     return 0;
   }
   if (argc > 1 && std::string(argv[1]) == "pickers") {
--- a/utils/local-deployment.sh
+++ b/utils/local-deployment.sh
@@ -36,7 +36,7 @@
   done
 }
 trap stop_all EXIT
-fabric() { # prints an integer field of the engines' lock-step statistics
+lock_step_count() { # prints an integer field of the engines' lock-step statistics
   curl -fsS http://127.0.0.1:7101/fabric | grep -oE "\"$1\":[0-9]+" | cut -d: -f2
 }
 wait_ready() { # admin address
@@ -114,7 +114,7 @@
 done
 # Engines step once their group is formed.
 for n in $(seq 1 300); do
-  [ "$(fabric steps)" -gt 0 ] && break
+  [ "$(lock_step_count steps)" -gt 0 ] && break
   sleep 0.1
 done
 
