--- a/tools/ospreyspur/ospreyspur.cpp
+++ b/tools/ospreyspur/ospreyspur.cpp
@@ -155,28 +155,29 @@
     std::vector<std::string> commands{"entry", "agent",    "direct", "rank",
                                       "check", "settings", "ctl"};
     TCLAP::ValuesConstraint<std::string> allowed(commands);
-    TCLAP::UnlabeledValueArg<std::string> command("command", "what to do", true,
-                                                  "", &allowed, cmd);
-    TCLAP::ValueArg<std::string> settings("s", "settings", "the file to read",
+    TCLAP::UnlabeledValueArg<std::string> command("command", "command to run",
+                                                  true, "", &allowed, cmd);
+    TCLAP::ValueArg<std::string> settings("s", "settings", "file to read",
                                           false, "", "file", cmd);
     std::vector<std::string> kinds{"entry", "agent", "direct", "rank",
                                    "config"};
     TCLAP::ValuesConstraint<std::string> allowedKinds(kinds);
-    TCLAP::ValueArg<std::string> kind("k", "kind", "what check reads", false,
+    TCLAP::ValueArg<std::string> kind("k", "kind",
+                                      "kind of file that check reads", false,
                                       "entry", &allowedKinds, cmd);
     using Text = TCLAP::ValueArg<std::string>;
     TCLAP::UnlabeledMultiArg<std::string> words(
         "words", "for ctl: get, put or delete, and the object", false,
         "get|put|delete OBJECT", cmd);
-    Text admin("", "admin", "for ctl: a process's admin port", false, "",
+    Text admin("", "admin", "for ctl: admin address of a process", false, "",
                "ip:port", cmd);
     Text tokenFile("", "token-file", "for ctl: file that holds the token",
                    false, "", "file", cmd);
     Text body("", "body", "for ctl put: file with the object's JSON", false, "",
               "file", cmd);
-    Text ifMatch("", "if-match", "for ctl: the tag the object must have", false,
-                 "", "tag", cmd);
-    Text changeId("", "change-id", "for ctl: names the change", false, "", "id",
+    Text ifMatch("", "if-match", "for ctl: tag that the object must have",
+                 false, "", "tag", cmd);
+    Text changeId("", "change-id", "for ctl: id of the change", false, "", "id",
                   cmd);
     cmd.parse(argc, argv);
     if (command.getValue() == "ctl") {
