--- a/test/standin/Platform.cpp
+++ b/test/standin/Platform.cpp
@@ -1,8 +1,8 @@
-//===- Platform.cpp - stand-in for the platform's key-value service -------===//
+//===- Platform.cpp - fake of the platform's key-value store --------------===//
 //
-// Items, lists, watches, transactions and leases as the users' platform speaks
-// them, with outages, delays and answers lost after their effect on order
-// (POST /fault).
+// Items, lists, watches, transactions and leases in the platform's protocol.
+// POST /fault injects outages, delays, and responses that are lost after the
+// transaction took effect.
 //
 //===----------------------------------------------------------------------===//
 
@@ -39,7 +39,7 @@
   TimePoint Expires;
 };
 
-/// One change, for watches.
+/// A change, kept for watches.
 struct Change {
   std::string Key;
   std::uint64_t Revision = 0;
@@ -125,7 +125,7 @@
     if (path == "/ospreyspur/kv-lease")
       return grant(in, out);
     if (path.starts_with("/ospreyspur/kv-keep/"))
-      return keep(idOf(path), out);
+      return renew(idOf(path), out);
     return 400;
   }
 
@@ -193,7 +193,7 @@
     for (const json::value &it : arrayOf(in, "remove"))
       remove(std::string(it.as_string()));
     out = {{"rev", LastRevision}};
-    wake();
+    wakeWatches();
     return 200;
   }
 
@@ -225,7 +225,7 @@
     return 200;
   }
 
-  unsigned keep(std::uint64_t id, json::object &out) {
+  unsigned renew(std::uint64_t id, json::object &out) {
     auto it = Leases.find(id);
     if (it == Leases.end())
       return 404;
@@ -263,7 +263,7 @@
     co_await timer->async_wait(asio::redirect_error(asio::use_awaitable, ec));
   }
 
-  void wake() {
+  void wakeWatches() {
     for (const auto &it : std::exchange(Waiting, {}))
       it->cancel();
   }
--- a/tools/ospreyspur/ospreyspur.cpp
+++ b/tools/ospreyspur/ospreyspur.cpp
@@ -1,6 +1,7 @@
-//===- ospreyspur.cpp - the one binary ------------------------------------===//
+//===- ospreyspur.cpp - command line of all processes ---------------------===//
 //
-// Chooses the role from the first argument and reads its settings file.
+// Runs the command that the first argument names: a process role with its
+// settings file, or a tool for operators.
 //
 //===----------------------------------------------------------------------===//
 
@@ -35,7 +36,7 @@
   return std::string(std::istreambuf_iterator<char>(is), {});
 }
 
-/// Reads \p path with \p read; prints every fault.
+/// Parses the settings file \p path with \p read and prints all errors.
 template <typename Read>
 static auto loadSettings(const std::string &path, Read read)
     -> std::optional<decltype(read(std::declval<SettingsReader &>()))> {
@@ -90,12 +91,13 @@
   return isGood ? 0 : 1;
 }
 
-/// Says why a role could not start, if so.
-static int exitStatus(const Result<void> &ended) {
-  if (ended)
+/// Prints the error of a role that could not start; returns the exit status.
+static int exitStatus(const Result<void> &result) {
+  if (result)
     return 0;
-  std::cerr << "ospreyspur: error " << static_cast<unsigned>(ended.error().Code)
-            << ": " << ended.error().Detail << '\n';
+  std::cerr << "ospreyspur: error "
+            << static_cast<unsigned>(result.error().Code) << ": "
+            << result.error().Detail << '\n';
   return 1;
 }
 
@@ -110,7 +112,8 @@
 
 static int run(const std::string &role, const std::string &path) {
   if (role == "direct" || role == "rank") {
-    // The platform reads standard output; the log must not wait for it.
+    // The platform reads standard output. LogWriter writes from a thread of its
+    // own, so that logging doesn't block when the platform reads slowly.
     LogWriter log(STDOUT_FILENO);
     FLAGS_logtostderr = false;
     FLAGS_stderrthreshold = google::NUM_SEVERITIES;
@@ -126,7 +129,7 @@
   return settings ? exitStatus(runAgent(*settings)) : 1;
 }
 
-/// The path on the command line, else the one in the environment.
+/// The path on the command line if given, else the one in the environment.
 static std::string settingsPath(const std::string &given) {
   const char *path = std::getenv("OSPREYSPUR_SETTINGS");
   return given.empty() && path ? path : given;
@@ -152,28 +155,29 @@
     std::vector<std::string> commands{"entry", "agent",    "direct", "rank",
                                       "check", "settings", "ctl"};
     TCLAP::ValuesConstraint<std::string> allowed(commands);
-    TCLAP::UnlabeledValueArg<std::string> command("command", "what to do", true,
-                                                  "", &allowed, cmd);
-    TCLAP::ValueArg<std::string> settings("s", "settings", "the file to read",
+    TCLAP::UnlabeledValueArg<std::string> command("command", "command to run",
+                                                  true, "", &allowed, cmd);
+    TCLAP::ValueArg<std::string> settings("s", "settings", "file to read",
                                           false, "", "file", cmd);
     std::vector<std::string> kinds{"entry", "agent", "direct", "rank",
                                    "config"};
     TCLAP::ValuesConstraint<std::string> allowedKinds(kinds);
-    TCLAP::ValueArg<std::string> kind("k", "kind", "what check reads", false,
+    TCLAP::ValueArg<std::string> kind("k", "kind",
+                                      "kind of file that check reads", false,
                                       "entry", &allowedKinds, cmd);
     using Text = TCLAP::ValueArg<std::string>;
     TCLAP::UnlabeledMultiArg<std::string> words(
         "words", "for ctl: get, put or delete, and the object", false,
         "get|put|delete OBJECT", cmd);
-    Text admin("", "admin", "for ctl: a process's admin port", false, "",
+    Text admin("", "admin", "for ctl: admin address of a process", false, "",
                "ip:port", cmd);
     Text tokenFile("", "token-file", "for ctl: file that holds the token",
                    false, "", "file", cmd);
     Text body("", "body", "for ctl put: file with the object's JSON", false, "",
               "file", cmd);
-    Text ifMatch("", "if-match", "for ctl: the tag the object must have", false,
-                 "", "tag", cmd);
-    Text changeId("", "change-id", "for ctl: names the change", false, "", "id",
+    Text ifMatch("", "if-match", "for ctl: tag that the object must have",
+                 false, "", "tag", cmd);
+    Text changeId("", "change-id", "for ctl: id of the change", false, "", "id",
                   cmd);
     cmd.parse(argc, argv);
     if (command.getValue() == "ctl") {
