--- a/include/ospreyspur/Direct/DirectNode.h
+++ b/include/ospreyspur/Direct/DirectNode.h
@@ -97,7 +97,7 @@
   /// request was sent. \p sentAt is unset if that time is unknown or the
   /// response may not be the endpoint's own; such a response never raises or
   /// removes a limit.
-  DirectActions onPushback(const EndpointId &id, const Pushback &asked,
+  DirectActions onPushback(const EndpointId &id, const Pushback &pushback,
                            std::optional<TimePoint> sentAt, TimePoint now);
   /// Takes the rate limits that endpoints advertised, as reported by another
   /// entry.
--- a/include/ospreyspur/Direct/EndpointBook.h
+++ b/include/ospreyspur/Direct/EndpointBook.h
@@ -152,7 +152,7 @@
   void onSuccess(const EndpointId &id, TimePoint now);
   void onFailure(const EndpointId &id, TimePoint now);
   /// The endpoint responded that the run had failed.
-  void onFailedAnswer(const EndpointId &id, TimePoint now);
+  void onFailedResponse(const EndpointId &id, TimePoint now);
   void onFull(const EndpointId &id, TimePoint now);
   /// Decides whether an endpoint may be sent a status query now. A query that
   /// is sent counts as a request toward the endpoint's rate limit.
@@ -219,7 +219,7 @@
   };
 
   static void extendFull(EndpointState &state, TimePoint now);
-  void onNoResponse(EndpointState &asked, TimePoint now);
+  void onNoResponse(EndpointState &queried, TimePoint now);
   EndpointState *findMutable(const EndpointId &id);
   std::vector<EndpointState *> groupOf(EndpointState &state);
   Duration queryInterval(TimePoint now) const;
--- a/lib/Direct/DirectNode.cpp
+++ b/lib/Direct/DirectNode.cpp
@@ -401,7 +401,7 @@
       Book.onFull(id, now);
     break;
   case AttemptEnd::Failed:
-    Book.onFailedAnswer(id, now);
+    Book.onFailedResponse(id, now);
     break;
   case AttemptEnd::OtherEndpoint:
     Book.onReplaced(id, now);
--- a/lib/Direct/DirectPushback.cpp
+++ b/lib/Direct/DirectPushback.cpp
@@ -54,24 +54,24 @@
 }
 
 DirectActions DirectNode::onPushback(const EndpointId &id,
-                                     const Pushback &asked,
+                                     const Pushback &pushback,
                                      std::optional<TimePoint> sentAt,
                                      TimePoint now) {
   const EndpointState *state = Book.find(id);
   if (!state)
     return takeActions();
-  if (asked.Rest)
-    Closed.onRest(state->Life, *asked.Rest, now);
-  if (asked.IsLeaving)
+  if (pushback.Rest)
+    Closed.onRest(state->Life, *pushback.Rest, now);
+  if (pushback.IsLeaving)
     Closed.onLeaving(state->Life, false, now);
-  bool mayLift = sentAt && asked.Malformed.empty();
-  if (asked.RequestsPerSecond || (mayLift && Rates.isKnown(state->Life))) {
+  bool mayLift = sentAt && pushback.Malformed.empty();
+  if (pushback.RequestsPerSecond || (mayLift && Rates.isKnown(state->Life))) {
     refreshMembers(now);
     // Without a send time the response can only lower a limit.
-    Rates.onAnswer(state->Life, asked.RequestsPerSecond,
+    Rates.onAnswer(state->Life, pushback.RequestsPerSecond,
                    sentAt.value_or(TimePoint()), now);
   }
-  if (asked.Rest || asked.IsLeaving || Rates.hasNotes())
+  if (pushback.Rest || pushback.IsLeaving || Rates.hasNotes())
     onLimitsChanged(now);
   return takeActions();
 }
@@ -137,8 +137,8 @@
 /// Ok.
 ResultCode DirectNode::pushbackReason(const CallState &call,
                                       TimePoint now) const {
-  bool isNoneAsked = Rates.limitedCount() == 0 && Closed.isEmpty();
-  if (isNoneAsked || call.HasBegun)
+  bool hasNoPushback = Rates.limitedCount() == 0 && Closed.isEmpty();
+  if (hasNoPushback || call.HasBegun)
     return ResultCode::Ok;
   ObstacleCounts counts = Picker.countObstacles(call, now);
   auto countOf = [&](Obstacle it) {
@@ -162,18 +162,19 @@
   if (pushbackReason(call, now) == ResultCode::Ok)
     return false;
   TimePoint until = call.waitLimit();
-  double room = 0;
+  double capacity = 0;
   for (const EndpointState *it : Picker.statesOf(call.Service)) {
     bool isOut = it->Record.IsLeaving || Closed.isLeaving(it->Life) ||
                  Closed.restUntil(it->Life) >= until;
     if (isOut || call.Tried.contains(it->Record.Id))
       continue;
-    room += Rates.isLimited(it->Life) ? Rates.roomUntil(it->Life, now, until)
-                                      : it->Record.Slots;
+    capacity += Rates.isLimited(it->Life)
+                    ? Rates.roomUntil(it->Life, now, until)
+                    : it->Record.Slots;
   }
   bool waits =
       Waiting.contains({call.Request.Priority, call.Arrived, call.Request.Id});
-  return double(waitingFor(call.Service) + (waits ? 0 : 1)) > room;
+  return double(waitingFor(call.Service) + (waits ? 0 : 1)) > capacity;
 }
 
 /// Ends the waiting calls that cannot be served in time, the last in the queue
--- a/lib/Direct/EndpointBook.cpp
+++ b/lib/Direct/EndpointBook.cpp
@@ -126,12 +126,12 @@
   // Failures during the suspicion time count as one failure.
   if (!it || now < it->SuspectUntil)
     return;
-  Duration pause = FirstSuspicion * (1U << it->ConsecutiveFailures);
-  it->SuspectUntil = now + std::min(pause, LongestSuspicion);
+  Duration duration = FirstSuspicion * (1U << it->ConsecutiveFailures);
+  it->SuspectUntil = now + std::min(duration, LongestSuspicion);
   it->ConsecutiveFailures = std::min(it->ConsecutiveFailures + 1, MaxDoublings);
 }
 
-void EndpointBook::onFailedAnswer(const EndpointId &id, TimePoint now) {
+void EndpointBook::onFailedResponse(const EndpointId &id, TimePoint now) {
   EndpointState *it = findMutable(id);
   if (it && ++it->ConsecutiveFailedResponses >= SuspectFailedResponses)
     onFailure(id, now);
@@ -154,8 +154,8 @@
 }
 
 void EndpointBook::extendFull(EndpointState &state, TimePoint now) {
-  Duration pause = FullTime * (1U << state.ConsecutiveFull);
-  state.FullUntil = now + std::min(pause, LongestFullTime);
+  Duration duration = FullTime * (1U << state.ConsecutiveFull);
+  state.FullUntil = now + std::min(duration, LongestFullTime);
   state.ConsecutiveFull = std::min(state.ConsecutiveFull + 1, MaxDoublings);
 }
 
@@ -277,46 +277,46 @@
 void EndpointBook::onTold(const EndpointId &id,
                           const std::optional<EndpointCondition> &condition,
                           TimePoint now) {
-  EndpointState *told = findMutable(id);
-  if (told && condition) {
-    told->Pace = condition->Pace;
-    told->SlowdownAt = now;
-    told->SlowdownReportedAt = now;
+  EndpointState *reporter = findMutable(id);
+  if (reporter && condition) {
+    reporter->Pace = condition->Pace;
+    reporter->SlowdownAt = now;
+    reporter->SlowdownReportedAt = now;
   }
-  if (!told || !told->MustReport)
+  if (!reporter || !reporter->MustReport)
     return;
   if (!condition) {
-    onNoResponse(*told, now);
+    onNoResponse(*reporter, now);
     return;
   }
-  told->Group = condition->Group;
-  told->UnresponsiveUntil = TimePoint();
-  bool isFull = condition->Running >= told->Record.Slots;
+  reporter->Group = condition->Group;
+  reporter->UnresponsiveUntil = TimePoint();
+  bool isFull = condition->Running >= reporter->Record.Slots;
   if (condition->IsOpen && isFull)
-    extendFull(*told, now);
+    extendFull(*reporter, now);
   // Whether the group accepts requests is the same for all its ranks; the load
   // is the endpoint's own.
-  for (EndpointState *it : groupOf(*told)) {
+  for (EndpointState *it : groupOf(*reporter)) {
     it->MustReport = !condition->IsOpen;
     it->QueryAt = std::max(now + queryInterval(now), it->UnresponsiveUntil);
   }
   if (condition->IsOpen && !isFull)
-    told->ProvenAt = now;
+    reporter->ProvenAt = now;
 }
 
 /// A status query without a response says nothing about the group, so another
 /// member is queried at once. Otherwise a group of which only this one endpoint
 /// is unreachable would stay closed to this entry for as long.
-void EndpointBook::onNoResponse(EndpointState &asked, TimePoint now) {
-  onFailure(asked.Record.Id, now);
-  asked.QueryAt = now + queryInterval(now);
-  for (EndpointState *it : groupOf(asked)) {
-    if (it == &asked)
+void EndpointBook::onNoResponse(EndpointState &queried, TimePoint now) {
+  onFailure(queried.Record.Id, now);
+  queried.QueryAt = now + queryInterval(now);
+  for (EndpointState *it : groupOf(queried)) {
+    if (it == &queried)
       continue;
     it->QueryAt = std::max(now, it->UnresponsiveUntil);
-    asked.QueryAt = now + QueryTimeout;
+    queried.QueryAt = now + QueryTimeout;
   }
-  asked.UnresponsiveUntil = now + QueryTimeout;
+  queried.UnresponsiveUntil = now + QueryTimeout;
 }
 
 Duration EndpointBook::queryInterval(TimePoint now) const {
--- a/lib/Direct/EventCutter.cpp
+++ b/lib/Direct/EventCutter.cpp
@@ -9,7 +9,7 @@
 using namespace ospreyspur;
 
 /// Returns the length of the complete events at the start of \p text.
-static std::size_t wholeLength(std::string_view text) {
+static std::size_t completeLength(std::string_view text) {
   std::size_t lf = text.rfind("\n\n");
   std::size_t crlf = text.rfind("\n\r\n");
   std::size_t end = lf == std::string_view::npos ? 0 : lf + 2;
@@ -20,11 +20,11 @@
 
 std::string EventCutter::add(std::string_view data) {
   Incomplete.append(data);
-  std::size_t n = wholeLength(Incomplete);
-  std::string whole = Incomplete.substr(0, n);
+  std::size_t n = completeLength(Incomplete);
+  std::string complete = Incomplete.substr(0, n);
   Incomplete.erase(0, n);
-  recordIds(whole);
-  return whole;
+  recordIds(complete);
+  return complete;
 }
 
 void EventCutter::recordIds(std::string_view events) {
--- a/unittests/Direct/CrashSimulation.cpp
+++ b/unittests/Direct/CrashSimulation.cpp
@@ -159,25 +159,25 @@
 }
 
 void CrashSimulation::scheduleHarmlessRequest() {
-  auto pause = Duration(std::int64_t(1e6 / Sizes.HarmlessPerSecond));
-  Time.at(Time.now() + between(Duration(0), 2 * pause), [this] {
+  auto interval = Duration(std::int64_t(1e6 / Sizes.HarmlessPerSecond));
+  Time.at(Time.now() + between(Duration(0), 2 * interval), [this] {
     call({RequestDigest(++LastHarmless), 0});
     scheduleHarmlessRequest();
   });
 }
 
 void CrashSimulation::addDeadlyRequest(RequestDigest request,
-                                       Duration meanPause) {
+                                       Duration meanInterval) {
   DeadlyRequests.insert(request);
-  scheduleDeadlyRequest(request, meanPause);
+  scheduleDeadlyRequest(request, meanInterval);
 }
 
 void CrashSimulation::scheduleDeadlyRequest(RequestDigest request,
-                                            Duration meanPause) {
-  Time.at(Time.now() + between(Duration(0), 2 * meanPause),
-          [this, request, meanPause] {
+                                            Duration meanInterval) {
+  Time.at(Time.now() + between(Duration(0), 2 * meanInterval),
+          [this, request, meanInterval] {
             call({request, 0});
-            scheduleDeadlyRequest(request, meanPause);
+            scheduleDeadlyRequest(request, meanInterval);
           });
 }
 
--- a/unittests/Direct/CrashSimulation.h
+++ b/unittests/Direct/CrashSimulation.h
@@ -40,7 +40,7 @@
 
   /// From now on \p request arrives repeatedly and crashes every endpoint that
   /// runs it.
-  void addDeadlyRequest(RequestDigest request, Duration meanPause);
+  void addDeadlyRequest(RequestDigest request, Duration meanInterval);
   /// Lets \p n endpoints crash by themselves within \p span.
   void addCrashWave(unsigned n, Duration span);
   void killEntry(unsigned i);
@@ -111,7 +111,7 @@
   void report(unsigned i, unsigned incarnation);
   void sendReport(unsigned i, unsigned incarnation);
   void scheduleHarmlessRequest();
-  void scheduleDeadlyRequest(RequestDigest request, Duration meanPause);
+  void scheduleDeadlyRequest(RequestDigest request, Duration meanInterval);
   void call(Caller caller);
   void onResult(CallId id, ResultCode code);
   void perform(unsigned i, const StartAttempt &it);
--- a/unittests/Direct/CrashedGroupTest.cpp
+++ b/unittests/Direct/CrashedGroupTest.cpp
@@ -68,11 +68,11 @@
   REQUIRE(neighbor != 0);
   fixture.Node.onFirstByte(CallId(neighbor), fixture.Now);
   DirectActions actions = fixture.endFirst();
-  bool isMoved = false;
+  bool isMigrated = false;
   for (const DirectAction &it : actions)
     if (const auto *stop = std::get_if<StopAttempt>(&it))
-      isMoved = isMoved || stop->Call == CallId(neighbor);
-  CHECK(isMoved);
+      isMigrated = isMigrated || stop->Call == CallId(neighbor);
+  CHECK(isMigrated);
 }
 
 TEST_CASE("an endpoint that cut one response without crashing stays in use "
--- a/unittests/Direct/DirectCallsTest.cpp
+++ b/unittests/Direct/DirectCallsTest.cpp
@@ -75,9 +75,9 @@
   TwoGroupFixture fixture;
   std::string group = fixture.start(1);
   DirectActions refused = fixture.end(1, AttemptEnd::Full);
-  const auto *question = find<AskEndpoint>(refused);
-  REQUIRE(question);
-  EndpointId full = question->Endpoint.Id;
+  const auto *query = find<AskEndpoint>(refused);
+  REQUIRE(query);
+  EndpointId full = query->Endpoint.Id;
   fixture.Node.onTold(full, EndpointCondition{GroupId(group), true, 4},
                       fixture.Now);
   for (const auto &[id, state] : fixture.Node.book().states())
--- a/unittests/Direct/DirectGroupTest.cpp
+++ b/unittests/Direct/DirectGroupTest.cpp
@@ -47,9 +47,9 @@
 TEST_CASE("an engine gets no requests before its first status report") {
   GroupFixture fixture;
   CHECK(fixture.call(1).empty());
-  DirectActions questions = fixture.Node.onTimer(fixture.Now);
-  CHECK(countOf<AskEndpoint>(questions) == 3);
-  std::vector<DirectActions> after = fixture.respond(questions, true);
+  DirectActions queries = fixture.Node.onTimer(fixture.Now);
+  CHECK(countOf<AskEndpoint>(queries) == 3);
+  std::vector<DirectActions> after = fixture.respond(queries, true);
   CHECK(countOf<StartAttempt>(after.front()) == 1);
 }
 
@@ -96,11 +96,11 @@
   GroupFixture fixture;
   fixture.open();
   fixture.call(1);
-  DirectActions asked = fixture.end(1, AttemptEnd::Full);
+  DirectActions queried = fixture.end(1, AttemptEnd::Full);
   std::set<EndpointId> all;
-  while (const auto *it = find<AskEndpoint>(asked)) {
+  while (const auto *it = find<AskEndpoint>(queried)) {
     REQUIRE(all.insert(it->Endpoint.Id).second);
-    asked = fixture.Node.onTold(it->Endpoint.Id, std::nullopt, fixture.Now);
+    queried = fixture.Node.onTold(it->Endpoint.Id, std::nullopt, fixture.Now);
   }
   CHECK(all.size() == 3);
   fixture.Now += EndpointBook::QueryTimeout;
@@ -110,12 +110,13 @@
 TEST_CASE("the rate of status queries to a closed group does not grow with the "
           "number of entries") {
   // 16 entries are two for each query of an interval, 17 are more.
-  for (auto [entries, pauses] : {std::pair(8, 1), {16, 2}, {17, 3}, {80, 10}}) {
+  for (auto [entries, intervals] :
+       {std::pair(8, 1), {16, 2}, {17, 3}, {80, 10}}) {
     GroupFixture fixture;
     for (int i = 1; i < entries; ++i)
       fixture.Node.setPeerLoad("n" + std::to_string(i), {}, fixture.Now);
     fixture.respond(fixture.Node.onTimer(fixture.Now), false);
-    fixture.Now += (pauses - 1) * EndpointBook::QueryInterval;
+    fixture.Now += (intervals - 1) * EndpointBook::QueryInterval;
     CHECK(countOf<AskEndpoint>(fixture.Node.onTimer(fixture.Now)) == 0);
     fixture.Now += EndpointBook::QueryInterval;
     CHECK(countOf<AskEndpoint>(fixture.Node.onTimer(fixture.Now)) == 1);
@@ -150,15 +151,15 @@
   std::string healthy = fixture.start(2);
   fixture.Node.onFirstByte(CallId(1), fixture.Now);
   fixture.Node.onFirstByte(CallId(2), fixture.Now);
-  std::optional<TimePoint> movedAt;
-  for (unsigned i = 1; i <= 80 && !movedAt; ++i) {
+  std::optional<TimePoint> migratedAt;
+  for (unsigned i = 1; i <= 80 && !migratedAt; ++i) {
     fixture.Now += milliseconds(50);
     CHECK(fixture.Node.onEvents(CallId(2), fixture.Now).empty());
     if (i % 12 == 0 &&
         countOf<StopAttempt>(fixture.Node.onEvents(CallId(1), fixture.Now)) > 0)
-      movedAt = fixture.Now;
+      migratedAt = fixture.Now;
   }
-  REQUIRE(movedAt.has_value());
+  REQUIRE(migratedAt.has_value());
   // The stream is stopped only once, and resumed in the healthy group.
   CHECK(countOf<StopAttempt>(fixture.Node.onEvents(CallId(1), fixture.Now)) ==
         0);
@@ -177,22 +178,22 @@
   TwoGroupFixture fixture;
   std::string slow = fixture.start(1);
   fixture.Node.onFirstByte(CallId(1), fixture.Now);
-  std::vector<EndpointId> asked;
+  std::vector<EndpointId> queried;
   for (unsigned i = 0; i < 4; ++i) {
     fixture.Now += milliseconds(300);
     for (const DirectAction &it : fixture.Node.onEvents(CallId(1), fixture.Now))
-      if (const auto *ask = std::get_if<AskEndpoint>(&it))
-        asked.push_back(ask->Endpoint.Id);
+      if (const auto *query = std::get_if<AskEndpoint>(&it))
+        queried.push_back(query->Endpoint.Id);
     for (const DirectAction &it : fixture.Node.onTimer(fixture.Now))
-      if (const auto *ask = std::get_if<AskEndpoint>(&it))
-        asked.push_back(ask->Endpoint.Id);
+      if (const auto *query = std::get_if<AskEndpoint>(&it))
+        queried.push_back(query->Endpoint.Id);
   }
-  REQUIRE_FALSE(asked.empty());
-  for (const EndpointId &it : asked)
+  REQUIRE_FALSE(queried.empty());
+  for (const EndpointId &it : queried)
     CHECK(it.get().substr(0, 1) == slow);
   // One rank of the group reports that it is slow; its usable slots are reduced
   // by the same factor.
-  EndpointId rank = asked.back();
+  EndpointId rank = queried.back();
   EndpointCondition condition{GroupId(slow), true, 1, 4.0};
   fixture.Node.onTold(rank, condition, fixture.Now);
   const EndpointState *state = fixture.Node.book().find(rank);
--- a/unittests/Direct/DirectNodeTest.cpp
+++ b/unittests/Direct/DirectNodeTest.cpp
@@ -31,7 +31,7 @@
     REQUIRE(only<StartAttempt>(actions));
     return only<StartAttempt>(actions)->Silence;
   };
-  auto answerAfter = [&](std::uint64_t id, Duration time) {
+  auto respondAfter = [&](std::uint64_t id, Duration time) {
     fixture.Now += time;
     fixture.Node.onFirstByte(CallId(id), fixture.Now);
     fixture.end(id, AttemptEnd::Complete);
@@ -39,12 +39,12 @@
   DirectLimits limits;
   // No endpoint has responded yet, as the service may just be starting.
   CHECK(silenceOf(1) == limits.MaxSilence);
-  answerAfter(1, milliseconds(150));
+  respondAfter(1, milliseconds(150));
   CHECK(silenceOf(2) == limits.MinSilence);
-  answerAfter(2, milliseconds(150));
+  respondAfter(2, milliseconds(150));
   for (std::uint64_t id = 3; id < 20; ++id) {
     silenceOf(id);
-    answerAfter(id, milliseconds(700));
+    respondAfter(id, milliseconds(700));
   }
   CHECK(silenceOf(20) == limits.MaxSilence);
 }
--- a/unittests/Direct/ManyEntriesTest.cpp
+++ b/unittests/Direct/ManyEntriesTest.cpp
@@ -154,15 +154,15 @@
     it.onFirstByte(listed.front().Record.Id, 0, now);
     it.onEvents(listed.front().Record.Id, milliseconds(500), now);
   }
-  unsigned asked = 0;
+  unsigned queries = 0;
   unsigned known = 0;
   for (unsigned tick = 0; tick < 100; ++tick, now += milliseconds(100)) {
     for (EndpointBook &it : books) {
       it.onEvents(listed.front().Record.Id, milliseconds(500), now);
-      for (const EndpointRecord &question : it.takeSlowdownQueries(
+      for (const EndpointRecord &query : it.takeSlowdownQueries(
                [](const EndpointState &) { return true; }, now, random)) {
-        ++asked;
-        it.onTold(question.Id, slow, now);
+        ++queries;
+        it.onTold(query.Id, slow, now);
       }
     }
     for (unsigned from = 0; from < Entries; ++from) {
@@ -176,7 +176,7 @@
   }
   // In ten seconds, about one query per second and endpoint. If each entry
   // queried on its own, there would be 50,000.
-  CHECK(asked < Endpoints * 10 * 3 / 2);
+  CHECK(queries < Endpoints * 10 * 3 / 2);
   // Every entry knows the slowdown factors of most slow endpoints at any time.
   CHECK(known > Endpoints * 100 * 3 / 4);
 }
--- a/unittests/Direct/SharedRetryBudgetTest.cpp
+++ b/unittests/Direct/SharedRetryBudgetTest.cpp
@@ -143,8 +143,8 @@
   }
 
   void arrive() {
-    Duration pause = Duration(seconds(1)) / RequestsPerSecond;
-    Time.at(Time.now() + Duration(Time.below(2 * pause.count())),
+    Duration interval = Duration(seconds(1)) / RequestsPerSecond;
+    Time.at(Time.now() + Duration(Time.below(2 * interval.count())),
             [this] { arrive(); });
     auto i = unsigned(Time.below(Entries));
     if (!isAwake(i, Nodes[i].Life))
--- a/unittests/Direct/TwoGroupFixture.h
+++ b/unittests/Direct/TwoGroupFixture.h
@@ -49,15 +49,15 @@
 
   /// Lets calls 1 and 2, one in each group, receive events for three seconds
   /// with these inter-event gaps.
-  void write(Duration pauseOfFirst, Duration pauseOfSecond) {
+  void write(Duration gapOfFirst, Duration gapOfSecond) {
     std::array<TimePoint, 2> last = {Now, Now};
-    std::array<Duration, 2> pauses = {pauseOfFirst, pauseOfSecond};
+    std::array<Duration, 2> gaps = {gapOfFirst, gapOfSecond};
     Node.onFirstByte(CallId(1), Now);
     Node.onFirstByte(CallId(2), Now);
     for (unsigned i = 0; i < 300; ++i) {
       Now += std::chrono::milliseconds(10);
       for (unsigned k = 0; k < 2; ++k)
-        if (Now - last[k] >= pauses[k]) {
+        if (Now - last[k] >= gaps[k]) {
           last[k] = Now;
           Node.onEvents(CallId(k + 1), Now);
         }
