--- a/unittests/Direct/DirectGroupTest.cpp
+++ b/unittests/Direct/DirectGroupTest.cpp
@@ -32,9 +32,9 @@
                                      unsigned running = 0) {
     std::vector<DirectActions> out;
     for (const DirectAction &it : actions)
-      if (const auto *question = std::get_if<AskEndpoint>(&it))
+      if (const auto *query = std::get_if<AskEndpoint>(&it))
         out.push_back(
-            Node.onTold(question->Endpoint.Id,
+            Node.onTold(query->Endpoint.Id,
                         EndpointCondition{GroupId("g"), isOpen, running}, Now));
     return out;
   }
