--- a/include/ospreyspur/Process/AdminServer.h
+++ b/include/ospreyspur/Process/AdminServer.h
@@ -1,8 +1,8 @@
 //===- AdminServer.h - status, metrics and configuration --------*- C++ -*-===//
 //
-// The admin port of a process: who asks must hold a token, except for liveness
-// and readiness. Queries answer from this process's copy; commands go through
-// the platform's service.
+// The admin port of a process. All paths but /live and /ready require the admin
+// token. Queries are answered from this process's state; commands are written
+// to the platform's key-value store.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,10 +27,11 @@
               ControlPlane &control, PlatformClient &platform,
               Metrics &metrics);
 
-  /// Begins to accept. Errors: SettingInvalid.
+  /// Starts to accept connections. Errors: SettingInvalid.
   Result<void> start();
 
-  /// Says "not ready" from now on, so that the balancer sends nothing more.
+  /// Reports "not ready" from now on, so that the platform's load balancer
+  /// sends no more requests.
   void setStopping() { IsStopping = true; }
 
 private:
--- a/include/ospreyspur/Process/AgentGroup.h
+++ b/include/ospreyspur/Process/AgentGroup.h
@@ -1,7 +1,7 @@
-//===- AgentGroup.h - the group's side of an agent --------------*- C++ -*-===//
+//===- AgentGroup.h - an agent as a member of its group ---------*- C++ -*-===//
 //
-// The shell around GroupMember, GroupCoordinator and GroupPlanner. All of it
-// runs on the control thread.
+// Performs the I/O for GroupMember, GroupCoordinator and GroupPlanner. All
+// functions run on the control thread.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,17 +21,17 @@
 
 namespace ospreyspur {
 
-/// An agent's part in its lock-step group.
+/// An agent's membership of its lock-step group.
 class AgentGroup {
 public:
   AgentGroup(boost::asio::io_context &ioc, const AgentSettings &settings,
              PlatformClient &platform, Metrics &metrics);
 
-  /// Begins to take part.
+  /// Starts to take part in the group.
   void start();
-  /// A message from another agent.
+  /// Handles a message from another agent.
   void onMessage(const Message &message);
-  /// A newer list of endpoints.
+  /// Replaces the list of endpoints with a newer one.
   void setEndpoints(const std::vector<EndpointView> &endpoints);
 
 private:
--- a/include/ospreyspur/Process/AgentTraffic.h
+++ b/include/ospreyspur/Process/AgentTraffic.h
@@ -1,7 +1,7 @@
 //===- AgentTraffic.h - the agent's traffic thread --------------*- C++ -*-===//
 //
-// The shell around AgentNode: links from entries, requests to the endpoint and
-// the timer. All of it runs on the thread of one io_context.
+// Performs the I/O for AgentNode: links from entries, requests to the endpoint
+// and the timer. All of it runs on the thread of one io_context.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,8 @@
 /// The traffic side of an agent process.
 class AgentTraffic {
 public:
-  /// Takes what belongs to the control side; called on the traffic thread.
+  /// Handle the messages that are meant for the control thread, and links that
+  /// went down; called on the traffic thread.
   struct ControlHandlers {
     std::function<void(LinkId, const Message &)> OnMessage;
     std::function<void(LinkId)> OnLinkDown;
@@ -40,10 +41,11 @@
     Control = std::move(handlers);
   }
 
-  /// Begins to accept links. Errors: SettingInvalid.
+  /// Starts to accept links. Errors: SettingInvalid.
   Result<void> start();
 
-  /// Opens or closes the gate and tells the entries.
+  /// Stops the agent from taking requests, or lets it take them again, and
+  /// reports this to the entries.
   void setLeaving(bool leaving);
 
   void setWeights(std::shared_ptr<const WorkspaceWeights> weights);
@@ -51,7 +53,8 @@
   /// Sends to one link. May be called from any thread.
   void send(LinkId to, const Message &message);
 
-  /// How far a planned stop is.
+  /// Requests still running, and whether entries have seen that this agent is
+  /// draining.
   StopProgress stopProgress() const {
     return {Node.runningCount(), Node.isLeavingSeen()};
   }
--- a/include/ospreyspur/Process/CrashLog.h
+++ b/include/ospreyspur/Process/CrashLog.h
@@ -1,7 +1,7 @@
 //===- CrashLog.h - log and metrics of quarantined requests -----*- C++ -*-===//
 //
-// One line and one count for each end of an endpoint that is put down to a
-// request.
+// Logs one line and increments one counter for each endpoint crash that is
+// attributed to a request.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,8 @@
 
 namespace ospreyspur {
 
-/// Logs and counts \p notes, and sets the number of rows of \p tracker.
+/// Logs and counts \p notes, and sets the metric of the number of records in
+/// \p tracker.
 void logCrashes(const std::vector<CrashNote> &notes,
                 const CrashTracker &tracker, Metrics &metrics);
 
--- a/include/ospreyspur/Process/DirectAttempt.h
+++ b/include/ospreyspur/Process/DirectAttempt.h
@@ -1,7 +1,7 @@
 //===- DirectAttempt.h - one request at one endpoint ------------*- C++ -*-===//
 //
-// Sends a request to an endpoint, reads the answer and passes it on as far as
-// that is safe. What follows is for the DirectNode.
+// Sends a request to an endpoint, reads the response and forwards it to the
+// caller as far as that is safe. The DirectNode decides on retries.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,30 +21,30 @@
 
 namespace ospreyspur {
 
-/// What an attempt tells while it runs.
+/// Callbacks of a running attempt.
 struct AttemptHandlers {
   /// Whether the request may be written now.
   std::function<bool()> MaySend;
-  /// The head of an answer came on the connection. \p sentAt is when the
-  /// request that it answers was sent, if it is the endpoint's answer to this
-  /// one.
+  /// A response head was received on the connection. \p sentAt is when the
+  /// request was sent, or empty if the head is not the endpoint's response to
+  /// this request.
   std::function<void(const Pushback &, std::optional<TimePoint> sentAt)> OnHead;
-  /// A part of the answer came.
+  /// A part of the response was received.
   std::function<void()> OnData;
-  /// Nothing has come for the order's silence, and once more each time it
-  /// passes again.
+  /// Nothing was received for StartAttempt::Silence. Called again each time
+  /// that this period passes once more without data.
   std::function<void()> OnSilence;
 };
 
-/// One attempt.
+/// One attempt to run a request at one endpoint.
 class DirectAttempt {
 public:
   DirectAttempt(EndpointPool &pool, HttpExchange &exchange, DirectCall &call,
                 const StartAttempt &order, AttemptHandlers handlers);
 
-  /// Runs to the end.
+  /// Runs the attempt until it ends.
   boost::asio::awaitable<AttemptEnd> run();
-  /// Who ended the connection, once it has run.
+  /// Which side closed the connection; valid once run() has returned.
   ConnectionEnd connectionEnd() const { return Ended; }
 
 private:
@@ -76,10 +76,10 @@
   EndpointPool::Connection Connection;
   std::optional<HostTimer> SilenceTimer;
   std::optional<HostTimer> DeadlineTimer;
-  /// Gone with this object, which a timer's handler may outlive.
+  /// Expires with this object, which a timer's handler may outlive.
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
-  /// Since when the endpoint is waited for; nothing while a part of the answer
-  /// is on its way to the caller.
+  /// When the current read from the endpoint began; empty while a part of the
+  /// response is written to the caller.
   std::optional<TimePoint> ReadingSince;
   TimePoint SentAt;
   std::optional<Parser> Answer;
--- a/include/ospreyspur/Process/DirectCall.h
+++ b/include/ospreyspur/Process/DirectCall.h
@@ -1,6 +1,7 @@
 //===- DirectCall.h - one caller's request on the direct path ---*- C++ -*-===//
 //
-// What the shell holds of a request between its arrival and its final answer.
+// The state that DirectTraffic keeps of a request between its arrival and its
+// final response.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,11 +24,11 @@
   CallId Call;
 };
 
-/// What the coroutine of a request waits for.
+/// An event that resumes the coroutine of a request.
 using DirectEvent =
     std::variant<StartAttempt, EndCall, PassOnAnswer, CallerGone>;
 
-/// One request's state in the shell.
+/// The state of one request in DirectTraffic.
 struct DirectCall {
   DirectCall(boost::asio::io_context &ioc, DirectRequest request,
              TimePoint arrived)
@@ -36,19 +37,20 @@
   DirectRequest Request;
   TimePoint Arrived;
   Mailbox<DirectEvent> Inbox;
-  /// The connection of the attempt under way; null between attempts.
+  /// The connection of the running attempt; null between attempts.
   EndpointConnection *Connection = nullptr;
   bool IsCallerGone = false;
   EventCutter Events;
-  /// Whether its whole answer has been given. A status alone does not say so:
-  /// an answer that says the run failed is kept back while others are tried.
+  /// Whether the complete response has been sent. Status does not show this: a
+  /// response that reports a failed run sets it, too, and is held back while
+  /// other endpoints are tried.
   bool IsAnswered = false;
-  /// An answer that says the run failed, should no attempt do better.
+  /// A response that reports a failed run; sent if no other attempt succeeds.
   std::optional<HttpResponse> FailedAnswer;
-  /// For the log.
+  /// The endpoints tried so far, separated by commas; for the log.
   std::string Endpoints;
   unsigned Status = 0;
-  /// What the last answer's endpoint asked for.
+  /// The rate limit and backoff in the last response's head.
   Pushback Asked;
   std::optional<TimePoint> FirstByte;
 };
--- a/include/ospreyspur/Process/DirectTraffic.h
+++ b/include/ospreyspur/Process/DirectTraffic.h
@@ -1,7 +1,7 @@
 //===- DirectTraffic.h - traffic thread of the direct path ------*- C++ -*-===//
 //
-// Turns callers' requests into inputs of a DirectNode and its actions into
-// attempts and answers.
+// Turns callers' requests into inputs of a DirectNode, and the node's actions
+// into attempts and responses.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,29 +24,31 @@
 
 namespace ospreyspur {
 
-/// The traffic side; all functions run on its thread.
+/// The traffic side of a direct entry; all functions run on its thread.
 class DirectTraffic {
 public:
-  /// The requests that are quarantined, and those that were cleared since.
+  /// Takes the requests that are quarantined, and those that have been cleared.
   using OnQuarantine = std::function<void(std::vector<RequestDigest>,
                                           std::vector<RequestDigest>)>;
 
-  /// \p onQuarantine hears of each change of them.
+  /// \p onQuarantine is called on each change of the quarantined requests.
   DirectTraffic(boost::asio::io_context &ioc, const DirectSettings &settings,
                 Metrics &metrics, std::uint64_t seed,
                 OnQuarantine onQuarantine = nullptr);
 
-  /// Callers wait until the first snapshot is known, a short time at most.
-  /// Errors: SettingInvalid.
+  /// Starts to listen. Callers are queued until the first snapshot is known,
+  /// but only for a short time. Errors: SettingInvalid.
   Result<void> start();
   void setSnapshot(const std::shared_ptr<const DirectSnapshot> &snapshot);
-  /// Keeps the bounds on repeats together with what ran here before; call once,
-  /// when the process begins.
+  /// Starts the retry budget, which is shared with earlier incarnations of this
+  /// process and with listed entries from which no report has been received.
+  /// Call once, when the process starts.
   void beginLife() { Node.beginLife(monotonicNow()); }
   void setRetries(const RetryBounds &bounds) { Node.setRetries(bounds); }
-  /// From now on answers ask their callers to use another entry.
+  /// From now on responses close their connections, so that callers connect to
+  /// another entry.
   void announceStop() { Server.closeAfterAnswers(); }
-  /// Refuses what still comes; what is under way goes on.
+  /// Refuses further requests; requests in flight continue.
   void stopAccepting();
   std::size_t busyCount() const { return Server.busyCount(); }
 
@@ -62,7 +64,7 @@
   void perform(AskEndpoint &action);
   void perform(CheckEndpoint &action);
   void perform(StopAttempt &action);
-  /// Hands an action of a call to its coroutine.
+  /// Passes an action of a call to the call's coroutine.
   template <typename Action> void perform(Action &action) {
     auto it = Calls.find(action.Call);
     if (it != Calls.end())
@@ -89,9 +91,9 @@
   const DirectSettings &Settings;
   Metrics &Measures;
   OnQuarantine TellQuarantine;
-  /// The last change that it heard of.
+  /// The last quarantine change that was passed to TellQuarantine.
   std::uint64_t ToldChange = 0;
-  /// Entries that share named rates, as last logged.
+  /// Number of entries that share advertised rate limits, as last logged.
   std::size_t LoggedSharing = 0;
   DirectNode Node;
   NodeTimer Timer;
--- a/include/ospreyspur/Process/EntryTraffic.h
+++ b/include/ospreyspur/Process/EntryTraffic.h
@@ -1,7 +1,8 @@
 //===- EntryTraffic.h - the entry's traffic thread --------------*- C++ -*-===//
 //
-// The shell around EntryNode: callers' connections, links to agents, calls on
-// the platform and the timer. All of it runs on the thread of one io_context.
+// Performs the I/O for EntryNode: callers' connections, links to agents, calls
+// to the platform's key-value store and the timer. All of it runs on the thread
+// of one io_context.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,20 +29,20 @@
   EntryTraffic(boost::asio::io_context &ioc, const EntrySettings &settings,
                TcpAddress platform, Metrics &metrics, std::uint64_t seed);
 
-  /// Takes the callers' address; callers are accepted from the first snapshot
-  /// on. Errors: SettingInvalid.
+  /// Binds the address for callers. Connections are accepted from the first
+  /// snapshot on. Errors: SettingInvalid.
   Result<void> start();
 
-  /// Takes a newer view of the fleet.
+  /// Replaces the routing snapshot with a newer one.
   void setSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot);
 
-  /// Asks callers to close their connections; their requests are served.
+  /// From now on responses close their connections; requests are still served.
   void announceStop() { Server.closeAfterAnswers(); }
 
-  /// Takes no new connections; what has come is served.
+  /// Accepts no new connections; requests already received are served.
   void stopAccepting() { Server.stopAccepting(); }
 
-  /// Number of requests begun whose answers are not yet written.
+  /// Number of requests whose responses are not yet completely written.
   std::size_t busyCount() const { return Server.busyCount(); }
 
 private:
@@ -64,7 +65,7 @@
   HttpServer Server;
   PlatformClient Platform;
   QuarantineSync Quarantine;
-  /// The last change of the quarantine that the store heard of.
+  /// The last quarantine change that was passed on to the store.
   std::uint64_t ToldChange = 0;
   NodeTimer Timer;
   std::shared_ptr<const RoutingSnapshot> Snapshot;
--- a/include/ospreyspur/Process/FateCheck.h
+++ b/include/ospreyspur/Process/FateCheck.h
@@ -1,7 +1,7 @@
-//===- FateCheck.h - asks whether an endpoint has ended ---------*- C++ -*-===//
+//===- FateCheck.h - checks whether an endpoint has exited ------*- C++ -*-===//
 //
-// Connects to an endpoint that cut an answer and reports what became of its
-// process.
+// Connects to an endpoint that cut off a response and finds out whether its
+// process has exited.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,21 +20,22 @@
 
 namespace ospreyspur {
 
-/// Reads from an endpoint whether it is still in the same life; nothing if it
-/// does not say.
+/// Queries an endpoint whether it is still the same incarnation; empty if the
+/// endpoint does not report this.
 using LifeCheck = std::function<boost::asio::awaitable<std::optional<bool>>()>;
 
-/// The fate of the endpoint at \p address. Without \p isSameLife, an endpoint
-/// that keeps a connection open counts as alive.
+/// Whether the process of the endpoint at \p address has exited. Without
+/// \p isSameLife, an endpoint that keeps a connection open counts as alive.
 boost::asio::awaitable<EndpointFate> checkFate(boost::asio::io_context &ioc,
                                                TcpAddress address,
                                                LifeCheck isSameLife = nullptr);
 
-/// The word for \p fate in logs and metrics.
+/// The name of \p fate in logs and metrics.
 const char *toString(EndpointFate fate);
 
-/// Keeps a connection to \p address until the other side closes it, or for
-/// \p limit; returns a little later at the earliest.
+/// Keeps a connection to \p address open until the other side closes it, or for
+/// \p limit. Waits a short time before it returns, also if the connection
+/// fails, so that callers may loop.
 boost::asio::awaitable<void> waitForClose(boost::asio::io_context &ioc,
                                           TcpAddress address, Duration limit);
 
--- a/include/ospreyspur/Process/HostTimer.h
+++ b/include/ospreyspur/Process/HostTimer.h
@@ -1,8 +1,8 @@
-//===- HostTimer.h - timers on the clock of decisions -----------*- C++ -*-===//
+//===- HostTimer.h - timers that count suspended time -----------*- C++ -*-===//
 //
-// A timer of the event loop waits on a clock that stands still while its host
-// is suspended. This one looks at monotonicNow() often enough that a moment
-// that passed meanwhile is noticed soon after the host wakes.
+// The event loop's timers use a clock that stops while the host is suspended.
+// A HostTimer compares its expiry with monotonicNow() often enough that an
+// expiry during the suspension is noticed soon after the host resumes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,17 +17,17 @@
 
 namespace ospreyspur {
 
-/// monotonicNow() as the event loop wants it.
+/// monotonicNow() in the form of a standard clock.
 struct HostClock : MonotonicClock {
   // The name is the standard library's.
   // NOLINTNEXTLINE(readability-identifier-naming)
   static time_point now() { return monotonicNow(); }
 };
 
-/// How long the event loop waits before it looks at the clock again.
+/// How long the event loop waits before it reads the clock again.
 struct HostWaitTraits {
-  /// Between two looks. A process that is awake looks as often for its load
-  /// reports or its rank anyway.
+  /// Longest time between two reads of the clock. This adds few wakeups: a
+  /// process wakes as often to send load reports or to read its rank.
   static constexpr Duration LongestLook = std::chrono::milliseconds(200);
 
   // The names are the library's.
--- a/include/ospreyspur/Process/LoadExchange.h
+++ b/include/ospreyspur/Process/LoadExchange.h
@@ -1,7 +1,8 @@
 //===- LoadExchange.h - load reports between entries ------------*- C++ -*-===//
 //
-// Sends this entry's load at the endpoints to the other entries, and takes
-// theirs, by datagrams. A lost one is made good by the next.
+// Sends this entry's load at the endpoints to the other entries, and receives
+// theirs, in UDP datagrams. Lost datagrams are not resent, as the next report
+// replaces them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +24,7 @@
 
 namespace ospreyspur {
 
-/// What the exchange needs of its process.
+/// Callbacks of a LoadExchange into its process.
 struct LoadExchangeHandlers {
   std::function<LoadReport()> MakeReport;
   std::function<void(const LoadReport &)> OnReport;
@@ -32,18 +33,19 @@
 /// The exchange on one io_context's thread.
 class LoadExchange {
 public:
-  /// Between two reports if nothing changes.
+  /// Time between two reports if nothing changes.
   static constexpr Duration Interval = std::chrono::milliseconds(200);
-  /// How long changes are gathered: a part of an engine's pass.
+  /// How long changes are collected into one report; a fraction of an engine
+  /// iteration.
   static constexpr Duration Gather = std::chrono::milliseconds(8);
 
   LoadExchange(boost::asio::io_context &ioc, LoadExchangeHandlers handlers);
 
-  /// Takes reports on \p address. Errors: SettingInvalid.
+  /// Receives reports on \p address. Errors: SettingInvalid.
   Result<void> start(const std::string &address);
-  /// This entry's load has changed: a report is due soon.
+  /// Schedules a report, as this entry's load has changed.
   void onChange();
-  /// The other entries' "ip:port".
+  /// Sets the other entries' addresses, as "ip:port".
   void setPeers(const std::vector<std::string> &addresses);
 
 private:
@@ -57,7 +59,7 @@
   std::vector<boost::asio::ip::udp::endpoint> Peers;
   std::array<char, 64U << 10U> Bytes{};
   boost::asio::ip::udp::endpoint Sender;
-  /// Whether a change waits to be sent.
+  /// Whether a change has not been sent yet.
   bool IsDue = false;
 };
 
--- a/include/ospreyspur/Process/LogWriter.h
+++ b/include/ospreyspur/Process/LogWriter.h
@@ -1,8 +1,9 @@
-//===- LogWriter.h - log lines that never hold up their writer --*- C++ -*-===//
+//===- LogWriter.h - non-blocking log output --------------------*- C++ -*-===//
 //
-// Takes glog's lines into a queue of bounded size; a thread of its own writes
-// them to standard output. When nobody reads that, lines are dropped, ordinary
-// ones first, and the number of dropped ones is logged later.
+// Puts glog's lines into a queue of bounded size, from which a separate thread
+// writes them to standard output. If nobody reads the output, lines are
+// dropped, those of severity INFO first, and the number of dropped lines is
+// logged later.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,15 +21,15 @@
 
 namespace ospreyspur {
 
-/// The log of this process, while it stands.
+/// Receives the log lines of this process as long as the object exists.
 class LogWriter : public google::LogSink {
 public:
-  /// Lines that may wait; ordinary ones only up to half of it.
+  /// Capacity of the queue; lines of severity INFO may fill only half of it.
   static constexpr std::size_t MaxLines = 2000;
 
   /// Writes to the open file \p fd.
   explicit LogWriter(int fd);
-  /// Writes what still waits, unless nobody reads it.
+  /// Writes the queued lines, unless nobody reads the output.
   ~LogWriter() override;
 
   void send(google::LogSeverity severity, const char *fullName,
--- a/include/ospreyspur/Process/MetricsServer.h
+++ b/include/ospreyspur/Process/MetricsServer.h
@@ -1,6 +1,6 @@
-//===- MetricsServer.h - a process's figures over HTTP ----------*- C++ -*-===//
+//===- MetricsServer.h - a process's metrics over HTTP ----------*- C++ -*-===//
 //
-// GET /metrics gives all metrics as text that usual scrapers read.
+// GET /metrics returns all metrics in the Prometheus text format.
 //
 //===----------------------------------------------------------------------===//
 
--- a/include/ospreyspur/Process/NodeTimer.h
+++ b/include/ospreyspur/Process/NodeTimer.h
@@ -1,6 +1,6 @@
-//===- NodeTimer.h - wakes a state machine when it asks for it --*- C++ -*-===//
+//===- NodeTimer.h - the timer of a state machine ---------------*- C++ -*-===//
 //
-// Keeps one timer set to the moment that a node names.
+// Keeps one timer set to the time at which a state machine is next due.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,8 @@
   NodeTimer(boost::asio::io_context &ioc, std::function<void()> onDue)
       : Timer(ioc), OnDue(std::move(onDue)) {}
 
-  /// Calls the handler at \p due, unless it is set anew before.
+  /// Calls the handler at \p due, unless set() is called again before; cancels
+  /// the timer if \p due is empty.
   void set(std::optional<TimePoint> due) {
     if (due == Due)
       return;
--- a/include/ospreyspur/Process/OperatorClient.h
+++ b/include/ospreyspur/Process/OperatorClient.h
@@ -1,6 +1,6 @@
 //===- OperatorClient.h - the operators' commands ---------------*- C++ -*-===//
 //
-// What `ospreyspur ctl` does: one request to the admin port of any process.
+// Implements `ospreyspur ctl`: one request to the admin port of any process.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,14 +22,15 @@
   std::string Token;
   /// The object's JSON for put.
   std::string Body;
-  /// Tag that the object must still have; empty for any.
+  /// Entity tag that the object must still have; empty for any.
   std::string IfMatch;
-  /// Names the change; empty draws one.
+  /// Identifies the change; if empty, the admin port generates one.
   std::string ChangeId;
 };
 
-/// Sends \p command and prints the answer; the process's exit status: 0 done,
-/// 1 refused, 2 wrong command, 3 fate unknown.
+/// Sends \p command and prints the response. Returns the exit status of the
+/// process: 0 for success, 1 if the command was refused, 2 if it is malformed,
+/// 3 if it is not known whether the command took effect.
 int runOperatorCommand(const OperatorCommand &command);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Process/PeerLinks.h
+++ b/include/ospreyspur/Process/PeerLinks.h
@@ -1,7 +1,8 @@
-//===- PeerLinks.h - the links that one thread dials ------------*- C++ -*-===//
+//===- PeerLinks.h - outgoing links of one thread ---------------*- C++ -*-===//
 //
 // Links to the agents of endpoints, opened on first use and closed when the
-// endpoint has gone or moved. Handlers run on the thread of the io_context.
+// endpoint disappears or changes its address. Handlers run on the thread of the
+// io_context.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,25 +21,25 @@
 
 namespace ospreyspur {
 
-/// What PeerLinks reports.
+/// Callbacks of PeerLinks.
 struct PeerLinksHandlers {
   std::function<void(const EndpointId &from, const Message &message)> OnMessage;
-  /// What was sent to the endpoint may not have arrived.
+  /// The link went down; messages sent on it may not have arrived.
   std::function<void(const EndpointId &to)> OnDown;
 };
 
-/// The links of one thread.
+/// The outgoing links of one thread.
 class PeerLinks {
 public:
   PeerLinks(boost::asio::io_context &ioc, PeerLinksHandlers handlers);
 
-  /// Where each endpoint's agent is, as "ip:port".
+  /// Sets the address of each endpoint's agent, as "ip:port".
   void setAddresses(std::map<EndpointId, std::string> addresses);
 
   /// Sends \p message. False if the endpoint is not known.
   bool send(const EndpointId &to, const Message &message, TimePoint now);
 
-  /// Closes links on which nothing was sent since \p before.
+  /// Closes the links on which nothing has been sent since \p before.
   void closeUnused(TimePoint before);
 
 private:
--- a/include/ospreyspur/Process/PlannedStop.h
+++ b/include/ospreyspur/Process/PlannedStop.h
@@ -1,4 +1,4 @@
-//===- PlannedStop.h - ends a process without cutting requests --*- C++ -*-===//
+//===- PlannedStop.h - graceful shutdown of a process -----------*- C++ -*-===//
 //
 // On SIGTERM or SIGINT the process goes through the phases of a StopSequence.
 //
@@ -17,25 +17,25 @@
 
 namespace ospreyspur {
 
-/// Watches for the signal on the control thread.
+/// Handles the signals on the control thread.
 class PlannedStop {
 public:
-  /// What the stop needs from its process; called on the control thread.
+  /// Callbacks into the process; called on the control thread.
   struct Handlers {
-    /// Say that the process will stop.
+    /// Announces to others that the process will stop.
     std::function<void()> Announce;
-    /// Take no new work.
+    /// Stops accepting new requests.
     std::function<void()> Close;
-    /// Asks how far the stop is.
+    /// Passes the progress of the stop to its argument.
     std::function<void(std::function<void(StopProgress)>)> AskProgress;
-    /// End the process.
+    /// Ends the process.
     std::function<void()> End;
   };
 
   PlannedStop(boost::asio::io_context &ioc, StopSequence sequence,
               Handlers handlers);
 
-  /// Begins to listen for the signals.
+  /// Starts to listen for the signals.
   void start();
 
 private:
--- a/include/ospreyspur/Process/ProcessThreads.h
+++ b/include/ospreyspur/Process/ProcessThreads.h
@@ -1,7 +1,7 @@
 //===- ProcessThreads.h - a control and a traffic thread --------*- C++ -*-===//
 //
-// What entries and agents have in common: one thread for control state and one
-// for traffic, which hand work to one another.
+// Entries and agents run one thread for control state and one for traffic,
+// which post tasks to each other.
 //
 //===----------------------------------------------------------------------===//
 
@@ -33,14 +33,15 @@
     boost::asio::post(Traffic, std::move(task));
   }
 
-  /// Runs both until stop(); the caller's thread becomes the control thread.
+  /// Runs both threads until stop(); the calling thread becomes the control
+  /// thread.
   void run() {
     std::thread thread([this] { Traffic.run(); });
     Control.run();
     thread.join();
   }
 
-  /// Ends run(); what is under way on the threads is dropped.
+  /// Ends run(); pending work of both threads is dropped.
   void stop() {
     Traffic.stop();
     Control.stop();
--- a/include/ospreyspur/Process/PushbackLog.h
+++ b/include/ospreyspur/Process/PushbackLog.h
@@ -1,6 +1,7 @@
-//===- PushbackLog.h - what endpoints ask for, in the log -------*- C++ -*-===//
+//===- PushbackLog.h - log and metrics of pushback --------------*- C++ -*-===//
 //
-// The same lines and metrics on both paths.
+// Logs and counts the rate limits, backoffs and leaving states that endpoints
+// send in their responses. Used by agents and by direct entries.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,22 +20,22 @@
 
 namespace ospreyspur {
 
-/// Logs what of \p asked cannot be read, if anything.
+/// Logs the malformed header value in \p asked, if there is one.
 void logUnreadable(const EndpointId &endpoint, const Pushback &asked,
                    Metrics &metrics);
 
-/// Logs changes of rates. \p nameOf gives an endpoint's name; \p limited
-/// endpoints have a rate now.
+/// Logs changes of advertised rate limits. \p nameOf returns an endpoint's
+/// name; \p limited is the number of endpoints that have a rate limit now.
 void logRates(const std::vector<RateLimitNote> &notes,
               const std::function<EndpointId(LifeDigest)> &nameOf,
               std::size_t limited, Metrics &metrics);
 
-/// Logs pauses; \p resting endpoints have one now.
+/// Logs backoffs; \p resting is the number of endpoints in backoff now.
 void logRests(const std::vector<RestNote> &notes,
               const std::function<EndpointId(LifeDigest)> &nameOf,
               std::size_t resting, Metrics &metrics);
 
-/// Logs lives that said that they leave.
+/// Logs the endpoint incarnations that have reported that they are leaving.
 void logLeaving(const std::vector<LifeDigest> &lives,
                 const std::function<EndpointId(LifeDigest)> &nameOf,
                 Metrics &metrics);
--- a/include/ospreyspur/Process/RankAgent.h
+++ b/include/ospreyspur/Process/RankAgent.h
@@ -1,8 +1,9 @@
 //===- RankAgent.h - an agent beside one rank of a group --------*- C++ -*-===//
 //
-// Reads its rank's state and hands it to the group's coordinator, which is one
-// of the group's agents: the holder of the group's lease. The coordinator plans
-// maps and brings them into force; agents pass its orders on to their ranks.
+// An agent reads its rank's state and sends it to the group's coordinator. The
+// coordinator is the agent that holds the group's lease. It plans expert maps
+// and makes the ranks switch to them; the other agents forward its orders to
+// their ranks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -38,18 +39,18 @@
 
 namespace ospreyspur {
 
-/// The agent, on one io_context's thread.
+/// The agent of one rank, on one io_context's thread.
 class RankAgent {
 public:
   RankAgent(boost::asio::io_context &ioc, const RankSettings &settings,
             Metrics &metrics, std::uint64_t seed);
 
-  /// Begins to read the rank. Errors: SettingInvalid.
+  /// Starts to read the rank. Errors: SettingInvalid.
   Result<void> start();
   void stop();
 
 private:
-  /// One group as its members see it.
+  /// This agent's membership of a group.
   struct Membership {
     Membership(const RankStatus &own, LeaseHolder lease)
         : Group(own.Group), Rank(own.Rank), Lease(std::move(lease)) {}
@@ -114,28 +115,29 @@
   StatusFilter Filter;
   MemberConsent Consent;
   OrderGate Gate;
-  /// When this agent came to lead.
+  /// When this agent became the coordinator.
   TimePoint LedSince;
   MapSwitch Switch;
   SwitchPhase LoggedPhase = SwitchPhase::Idle;
   DemandMeter Demand;
-  /// The service's engine, once read.
+  /// The parameters of the service's engine, once read.
   std::optional<EngineFigures> Figures;
-  /// When the group was last heard whole while leading.
+  /// When this coordinator last had current reports of all ranks.
   TimePoint CompleteAt;
   TimePoint NextFigures;
   TimePoint NextPlan;
   TimePoint NextGroupLine;
   /// The link on which each rank's agent reports.
   std::map<unsigned, LinkId> Links;
-  /// What the group's agents know of maps, and what this one knows.
+  /// The maps that were sent to the group's agents.
   SentMaps Sent;
   OrderLane Lane;
+  /// The map that this agent last received from a coordinator.
   ToldMap Told;
-  /// Direct ways to endpoints, for ranks whose agents are silent.
+  /// Direct links to endpoints, for ranks whose agents send no reports.
   std::map<TcpAddress, std::shared_ptr<RankLink>> FarLinks;
   std::map<unsigned, std::shared_ptr<RankLink>> FarRanks;
-  /// Ranks to which a repeat is under way past their agent.
+  /// Ranks to which a retry is in flight that bypasses their agent.
   std::set<unsigned> Repeating;
   ReachPlanner Reach;
   NodeTimer Timer;
--- a/include/ospreyspur/Process/RankLink.h
+++ b/include/ospreyspur/Process/RankLink.h
@@ -1,6 +1,6 @@
-//===- RankLink.h - reading and ordering one rank ---------------*- C++ -*-===//
+//===- RankLink.h - status queries and orders to one rank -------*- C++ -*-===//
 //
-// Asks an endpoint for its state as a rank of a group and gives it orders.
+// Queries an endpoint for its state as a rank of a group and sends it orders.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,22 +15,23 @@
 
 namespace ospreyspur {
 
-/// One rank, on one io_context's thread.
+/// A client of one rank, on one io_context's thread.
 class RankLink {
 public:
   RankLink(boost::asio::io_context &ioc, TcpAddress address)
       : Client(ioc, std::move(address)) {}
 
-  /// The rank's state with its placement and, if \p withCounts, its counts.
-  /// Errors: PlatformTimeout, PlatformRefused, PlatformBadAnswer.
+  /// Reads the rank's state with its expert placement and, if \p withCounts,
+  /// how often each expert was chosen. Errors: PlatformTimeout,
+  /// PlatformRefused, PlatformBadAnswer.
   boost::asio::awaitable<Result<RankStatus>> readStatus(bool withCounts);
 
-  /// The rank's state without its placement and counts, which cost more from
-  /// another host. Errors: PlatformTimeout, PlatformRefused,
-  /// PlatformBadAnswer.
+  /// Reads the rank's state without its placement and counts, which are more
+  /// expensive to read from another host. Errors: PlatformTimeout,
+  /// PlatformRefused, PlatformBadAnswer.
   boost::asio::awaitable<Result<RankStatus>> readReport();
 
-  /// Gives \p order.
+  /// Sends \p order to the rank and returns the rank's result.
   boost::asio::awaitable<MapOrderResult> give(MapOrder order);
 
 private:
--- a/include/ospreyspur/Process/SettingsWatch.h
+++ b/include/ospreyspur/Process/SettingsWatch.h
@@ -1,7 +1,8 @@
-//===- SettingsWatch.h - notices a changed settings file --------*- C++ -*-===//
+//===- SettingsWatch.h - reloads a changed settings file --------*- C++ -*-===//
 //
-// Reads the settings file again on SIGHUP and when its text has changed. A file
-// with faults is logged and the settings in force stay.
+// Reads the settings file on SIGHUP and at a fixed interval, and reloads the
+// settings if the text has changed. Errors in the file are logged, and the
+// settings in force stay.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,11 +23,11 @@
 /// Watches one file on one io_context's thread.
 class SettingsWatch {
 public:
-  /// Between two looks at the file.
+  /// Time between two reads of the file.
   static constexpr Duration Interval = std::chrono::seconds(1);
 
-  /// \p onChange reads the new text and puts it into force unless the reader
-  /// has errors afterwards; it calls SettingsReader::finish() itself.
+  /// \p onChange reads the new text, calls SettingsReader::finish() and then
+  /// applies the settings unless the reader has errors.
   SettingsWatch(boost::asio::io_context &ioc, std::string path,
                 std::function<void(SettingsReader &)> onChange);
 
--- a/lib/Process/AdminServer.cpp
+++ b/lib/Process/AdminServer.cpp
@@ -92,7 +92,7 @@
 }
 
 namespace {
-/// "/v1/<section>/<name>" taken apart.
+/// The parsed form of "/v1/<section>/<name>".
 struct ObjectPath {
   std::string Section;
   std::string Name;
@@ -109,7 +109,8 @@
   return ObjectPath{rest.substr(0, slash), rest.substr(slash + 1)};
 }
 
-/// An error's answer with its own detail instead of the table's message.
+/// The response to an error, with the error's detail instead of the message of
+/// its result code.
 static HttpResponse makeAdminError(const Error &error) {
   HttpResponse response = makeErrorResponse(error.Code, Duration::zero());
   json::object body{{"code", static_cast<unsigned>(error.Code)},
--- a/lib/Process/AgentGroup.cpp
+++ b/lib/Process/AgentGroup.cpp
@@ -1,7 +1,7 @@
-//===- AgentGroup.cpp - the group's side of an agent ----------------------===//
+//===- AgentGroup.cpp - an agent as a member of its group -----------------===//
 //
-// Messages between agents of a group go over links of their own, dialled by the
-// sender; a reply is a message like any other.
+// Agents of a group send messages on separate links, which the sender opens.
+// Replies are sent as messages in the same way.
 //
 //===----------------------------------------------------------------------===//
 
@@ -34,8 +34,9 @@
       Planner(settings.Weights, settings.PlanInterval),
       Engine(ioc, parseAddress(settings.EndpointAddress).value()),
       Timer(ioc, [this] { onTimer(); }),
-      // What comes back on a link and its loss need no handling: replies arrive
-      // as messages of the peer, and every order is sent again until answered.
+      // Messages received on these links and lost links need no handling:
+      // replies arrive on the peer's own link, and every order is retried until
+      // it is answered.
       Peers(ioc, {[](const EndpointId &, const Message &) {},
                   [](const EndpointId &) {}}) {}
 
@@ -80,7 +81,7 @@
   planIfDue();
 }
 
-/// A coordinator with nothing to do looks whether a new map is worthwhile.
+/// If the coordinator is idle, checks whether a new expert map is worthwhile.
 void AgentGroup::planIfDue() {
   if (Coordinator.phase() != CoordinatorPhase::Idle)
     return;
--- a/lib/Process/AgentRole.cpp
+++ b/lib/Process/AgentRole.cpp
@@ -1,6 +1,6 @@
 //===- AgentRole.cpp - the agent process ----------------------------------===//
 //
-// Puts the control thread and the traffic thread of an agent together.
+// Creates and connects the control thread and the traffic thread of an agent.
 //
 //===----------------------------------------------------------------------===//
 
@@ -48,12 +48,12 @@
 }
 
 namespace {
-/// All parts of an agent.
+/// All components of an agent process.
 class AgentProcess {
 public:
   explicit AgentProcess(const AgentSettings &settings);
 
-  /// Runs until a planned stop has ended. Errors: SettingInvalid.
+  /// Runs until a graceful shutdown is complete. Errors: SettingInvalid.
   Result<void> run();
 
 private:
@@ -130,7 +130,7 @@
     Admin.setStopping();
     Threads.postToTraffic([this] { Traffic.setLeaving(true); });
   };
-  // The gate is closed since the announcement.
+  // The agent has taken no new requests since the announcement.
   handlers.Close = [] {};
   handlers.AskProgress = [this](std::function<void(StopProgress)> done) {
     Threads.postToTraffic([this, done = std::move(done)] {
--- a/lib/Process/AgentTraffic.cpp
+++ b/lib/Process/AgentTraffic.cpp
@@ -1,6 +1,7 @@
 //===- AgentTraffic.cpp - the agent's traffic thread ----------------------===//
 //
-// Bytes become inputs of the node, its actions become bytes.
+// Passes received messages and responses to the AgentNode, and performs the
+// node's actions.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,8 +24,8 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-/// An endpoint that said that it leaves and still stands after this time is
-/// tried again.
+/// An endpoint that has reported that it is leaving and still runs after this
+/// time gets requests again.
 static constexpr Duration MaxLeavingTime = std::chrono::minutes(10);
 
 static constexpr char ResumeHeader[] = "Ospreyspur-Resume-Offset";
@@ -152,7 +153,7 @@
                                           Settings.EndpointIdle);
   if (code == ResultCode::EndpointFailed && Runs.contains(id))
     code = co_await findEnd(id);
-  // A run that was stopped has been erased and ended already.
+  // If the run was stopped, it has been erased and its end reported already.
   if (Runs.erase(id) == 0)
     co_return;
   apply(Node.onRunEnd(id, code, monotonicNow()));
@@ -179,8 +180,8 @@
            Node.closed().restingCount(monotonicNow()), Measures);
 }
 
-/// An endpoint that leaves gets no request that would show its end: a
-/// connection to it does, which stays open without a word.
+/// Detects the exit of an endpoint that is leaving. As such an endpoint gets no
+/// requests that would fail, an idle connection to it is kept open instead.
 asio::awaitable<void> AgentTraffic::watchEnd() {
   TimePoint end = monotonicNow() + MaxLeavingTime;
   EndpointFate fate = EndpointFate::Alive;
--- a/lib/Process/CrashLog.cpp
+++ b/lib/Process/CrashLog.cpp
@@ -12,7 +12,7 @@
 
 using namespace ospreyspur;
 
-/// The word for \p standing in the log.
+/// The name of the verdict \p standing in logs and metrics.
 static const char *wordOf(CrashStanding standing) {
   switch (standing) {
   case CrashStanding::Unknown:
--- a/lib/Process/DirectAttempt.cpp
+++ b/lib/Process/DirectAttempt.cpp
@@ -1,7 +1,8 @@
 //===- DirectAttempt.cpp - one request at one endpoint --------------------===//
 //
-// Answers of a known end are read whole before they go on, so that a broken one
-// can still be replaced. Events go on one by one.
+// Responses other than event streams are read completely before they are
+// forwarded, so that a broken one can still be replaced by a retry. Events are
+// forwarded one by one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,10 +23,10 @@
 namespace http = boost::beast::http;
 
 static constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-/// A connection inside a region stands within milliseconds; a lost opening
-/// packet is sent again after a second.
+/// A connection inside a region is established within milliseconds; a lost SYN
+/// packet is retransmitted after a second.
 static constexpr Duration ConnectTimeout = std::chrono::milliseconds(400);
-/// Answers to other requests that are passed over on one connection.
+/// Responses to other requests that are skipped on one connection.
 static constexpr unsigned MaxForeignAnswers = 2;
 static constexpr std::size_t ReadBytes = 16U << 10U;
 static constexpr std::size_t MaxAnswerBytes = 16U << 20U;
@@ -52,7 +53,8 @@
     returnUnused();
     co_return AttemptEnd::Withheld;
   }
-  // Its time-outs are on a clock that leaves out suspensions.
+  // The stream's timeouts use a clock that stops while the host is suspended;
+  // HostTimers are used instead.
   Connection->Stream.expires_never();
   watchDeadline();
   SilenceTimer.emplace(Connection->Stream.get_executor());
@@ -65,8 +67,8 @@
   co_return co_await passOnWhole();
 }
 
-/// What must not run twice goes on a connection of its own: there, nobody else
-/// can have closed it meanwhile.
+/// Requests that must not run twice are sent on a new connection, as the
+/// endpoint may close a kept one at the moment the request is sent.
 asio::awaitable<EndpointPool::Connection> DirectAttempt::open() {
   const RouteRule &route = *Call.Request.Route;
   if (route.Kind != RequestKind::OnceOnly)
@@ -87,7 +89,7 @@
   co_return !ec;
 }
 
-/// Reads heads until one is of this request.
+/// Reads response heads until one belongs to this request.
 asio::awaitable<bool> DirectAttempt::readHead() {
   for (unsigned i = 0; i <= MaxForeignAnswers; ++i) {
     Answer.emplace();
@@ -119,7 +121,7 @@
   co_return false;
 }
 
-/// Closes the connection when the caller's time is over.
+/// Closes the connection when the caller's deadline has passed.
 void DirectAttempt::watchDeadline() {
   DeadlineTimer.emplace(Connection->Stream.get_executor());
   DeadlineTimer->expires_at(Order.Deadline);
@@ -130,9 +132,9 @@
       });
 }
 
-/// Looks after \p pause how long the endpoint has said nothing. Silence alone
-/// ends no attempt: it may go on, and whether another can take its place is not
-/// known here.
+/// Checks after \p pause how long the endpoint has sent nothing. An idle period
+/// alone ends no attempt, as the endpoint may continue, and only the DirectNode
+/// knows whether the request can migrate to another endpoint.
 void DirectAttempt::watchSilence(Duration pause) {
   if (!Call.Request.Route->isRepeatable() || Order.Silence <= Duration::zero())
     return;
@@ -221,7 +223,7 @@
     auto ec = co_await readSome(data);
     std::string events = Call.Events.add(data);
     if (!events.empty() && !co_await passOn(std::move(events))) {
-      // The caller takes nothing more: no matter of the endpoint.
+      // The caller reads no more data, which is not the endpoint's fault.
       if (!Call.IsCallerGone)
         Call.Inbox.post(CallerGone{Call.Request.Id});
       Call.IsCallerGone = true;
@@ -248,8 +250,8 @@
   co_return isSent && !Call.IsCallerGone;
 }
 
-/// Whether the endpoint closed or reset the connection; closing it here gives
-/// other errors.
+/// Records if \p ec shows that the endpoint closed or reset the connection. A
+/// connection closed by this process gives other errors.
 void DirectAttempt::noteError(const boost::system::error_code &ec) {
   if (ec == asio::error::eof || ec == asio::error::connection_reset ||
       ec == asio::error::broken_pipe || ec == http::error::end_of_stream ||
@@ -257,7 +259,8 @@
     Ended = ConnectionEnd::Endpoint;
 }
 
-/// A part of an event that came is dropped; another run sends it whole.
+/// The result of an attempt whose connection failed. Drops a partial event, as
+/// the next attempt sends it from its start.
 AttemptEnd DirectAttempt::endOfBroken() const {
   Call.Events.dropRest();
   return Exchange.hasBegun() ? AttemptEnd::BrokeOff : AttemptEnd::Lost;
@@ -269,7 +272,7 @@
          Head.Verdict == AnswerVerdict::Full;
 }
 
-/// Keeps a connection on which nothing was sent.
+/// Returns a connection on which nothing was sent to the pool.
 void DirectAttempt::returnUnused() {
   Call.Connection = nullptr;
   Connection->Stream.expires_never();
--- a/lib/Process/DirectFates.cpp
+++ b/lib/Process/DirectFates.cpp
@@ -1,7 +1,7 @@
-//===- DirectFates.cpp - endpoints that ended under a request -------------===//
+//===- DirectFates.cpp - endpoint crashes during requests -----------------===//
 //
-// The part of DirectTraffic that asks whether an endpoint has ended, takes what
-// other entries tell of such ends, and says what was made of them.
+// The part of DirectTraffic that checks whether an endpoint has exited, handles
+// other entries' reports of crashes, and logs the resulting verdicts.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,8 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// One line for each request that is put down with the end of an endpoint.
+/// Logs one line for each request to which an endpoint crash is attributed, and
+/// passes changes of the quarantine on.
 void DirectTraffic::logCrashes() {
   ospreyspur::logCrashes(Node.takeCrashNotes(), Node.crashes(), Measures);
   std::uint64_t change = Node.crashes().quarantineChanges();
@@ -30,8 +31,9 @@
   TellQuarantine(Node.crashes().quarantined(), Node.crashes().cleared());
 }
 
-/// Reports come from every entry several times a second: only what changes
-/// something here is told on.
+/// Applies a load report. Each entry sends several a second, so this entry
+/// schedules a report of its own only if a received one may change something
+/// here.
 void DirectTraffic::takeReport(const LoadReport &report) {
   TimePoint now = monotonicNow();
   Node.setPeerLoad(report.Node, report.Loads, now);
@@ -68,7 +70,9 @@
 }
 
 asio::awaitable<EndpointFate> DirectTraffic::findFate(EndpointRecord endpoint) {
-  // A connection says enough where a question would count as a request.
+  // If the endpoint reports no incarnation, has a rate limit, is in backoff or
+  // is leaving, a connection is opened without a status query, which would
+  // count as a request.
   bool tellsLife = endpoint.TellsState && endpoint.Life != EndpointLife(0) &&
                    Node.takesQuestions(endpoint.Id, monotonicNow());
   if (!tellsLife)
--- a/lib/Process/DirectPushback.cpp
+++ b/lib/Process/DirectPushback.cpp
@@ -1,6 +1,7 @@
-//===- DirectPushback.cpp - what endpoints ask an entry for ---------------===//
+//===- DirectPushback.cpp - pushback from endpoints -----------------------===//
 //
-// The part of DirectTraffic that hands it to the node and logs its changes.
+// The part of DirectTraffic that passes the rate limits, backoffs and leaving
+// states in endpoints' responses to the node and logs their changes.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Process/DirectRole.cpp
+++ b/lib/Process/DirectRole.cpp
@@ -1,6 +1,7 @@
 //===- DirectRole.cpp - the process of the direct path --------------------===//
 //
-// Puts the control thread and the traffic thread of a direct entry together.
+// Creates and connects the control thread and the traffic thread of a direct
+// entry.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,12 +21,12 @@
 using namespace ospreyspur;
 
 namespace {
-/// All parts of a direct entry.
+/// All components of a direct entry process.
 class DirectProcess {
 public:
   explicit DirectProcess(const DirectSettings &settings);
 
-  /// Runs until a planned stop has ended. Errors: SettingInvalid.
+  /// Runs until a graceful shutdown is complete. Errors: SettingInvalid.
   Result<void> run();
 
 private:
@@ -69,7 +70,8 @@
       Watch(Threads.control(), settings.File,
             [this](SettingsReader &reader) { reload(reader); }) {}
 
-/// Addresses stay until the next start; bounds change at once.
+/// Applies changed retry limits at once; changed addresses take effect at the
+/// next start.
 void DirectProcess::reload(SettingsReader &reader) {
   DirectSettings next = readDirectSettings(reader);
   reader.finish();
@@ -93,7 +95,8 @@
   handlers.Close = [this] {
     Threads.postToTraffic([this] { Traffic.stopAccepting(); });
   };
-  // The platform's balancer confirms nothing: the whole notice is waited out.
+  // The platform's load balancer does not confirm that it has seen the stop, so
+  // IsConfirmed stays false and the whole notice period is waited out.
   handlers.AskProgress = [this](std::function<void(StopProgress)> done) {
     Threads.postToTraffic([this, done = std::move(done)] {
       StopProgress progress{Traffic.busyCount(), false};
--- a/lib/Process/DirectTraffic.cpp
+++ b/lib/Process/DirectTraffic.cpp
@@ -22,18 +22,19 @@
 namespace asio = boost::asio;
 
 static constexpr Duration PoolLook = std::chrono::milliseconds(500);
-/// When to come back after an entry that stops: at once, as another entry takes
-/// the next try.
+/// Retry-After sent by an entry that is stopping: short, as another entry takes
+/// the next attempt.
 static constexpr Duration ElsewhereRetryAfter = std::chrono::milliseconds(20);
-/// How long callers of an entry that starts wait for it to learn the
-/// configuration and the endpoints; with a store that answers it takes some 30
-/// ms.
+/// How long callers of a starting entry wait until the entry has read the
+/// configuration and the endpoints, which takes some 30 ms if the store
+/// responds.
 static constexpr Duration StartWait = std::chrono::milliseconds(400);
-/// When to come back after an entry that could not learn them: the store is
-/// out, and callers have few tries. They wait for up to a third of their time.
+/// Retry-After sent by an entry that could not read them. The store is then
+/// unavailable, and callers have few attempts; they wait for up to a third of
+/// their deadline.
 static constexpr Duration UnknownRetryAfter = std::chrono::seconds(2);
 
-/// The word for \p end in metrics.
+/// The name of \p end in logs and metrics.
 static const char *wordOf(AttemptEnd end) {
   switch (end) {
   case AttemptEnd::Complete:
@@ -56,7 +57,7 @@
   return "";
 }
 
-/// The word for \p reason in the log.
+/// The name of \p reason in the log.
 static const char *wordOf(MoveReason reason) {
   switch (reason) {
   case MoveReason::TooSlow:
@@ -75,8 +76,9 @@
   return limits;
 }
 
-/// Connections may rest for the whole idle time and somewhat longer, so that a
-/// caller never meets one that is just being closed.
+/// The server's timeout is a quarter longer than the idle time that callers
+/// keep connections for, so that no caller reuses a connection just as the
+/// server closes it.
 static HttpLimits makeHttpLimits(const CallerLimits &limits) {
   HttpLimits out;
   out.MaxHeaderBytes = limits.MaxHeaderBytes;
@@ -132,8 +134,8 @@
     return;
   StartTimer.cancel();
   Result<void> accepting = Server.beginAccepting();
-  LOG_IF(FATAL, !accepting)
-      << LogEvent("direct.deaf").with("detail", accepting.error().Detail);
+  LOG_IF(FATAL, !accepting) << LogEvent("direct.cannot_listen")
+                                   .with("detail", accepting.error().Detail);
 }
 
 void DirectTraffic::setSnapshot(
@@ -194,7 +196,7 @@
   return out;
 }
 
-/// When a caller refused with \p code should come back.
+/// The Retry-After for a caller refused with \p code; zero for none.
 static Duration retryAfter(ResultCode code) {
   if (describe(code).Kind != Outcome::NotRun)
     return Duration::zero();
@@ -282,7 +284,8 @@
       apply(Node.onFirstByte(id, now));
       return;
     }
-    // Most events change nothing that other entries need to know.
+    // apply() schedules a load report, so it is skipped without actions: most
+    // events change nothing that other entries need to know.
     DirectActions actions = Node.onEvents(id, now);
     if (!actions.empty())
       apply(std::move(actions));
@@ -316,8 +319,8 @@
   apply(Node.onAttemptEnded(id, end, monotonicNow(), running.connectionEnd()));
 }
 
-/// One line for each attempt whose endpoint closed the connection before its
-/// answer was whole.
+/// Logs one line for each attempt whose endpoint closed the connection before
+/// its response was complete.
 void DirectTraffic::logCut(const DirectCall &call, const StartAttempt &order,
                            AttemptEnd end, Duration ran) {
   LOG(INFO) << LogEvent("attempt.cut")
@@ -338,8 +341,8 @@
   Timer.set(Node.nextTimer());
 }
 
-/// One line for each request that begins to wait, with what each endpoint of
-/// its service lacked.
+/// Logs one line for each request that begins to wait, with the number of
+/// endpoints of its service for each obstacle.
 void DirectTraffic::logWaits() {
   for (const WaitNote &note : Node.takeWaitNotes()) {
     auto it = Calls.find(note.Call);
@@ -362,7 +365,8 @@
   asio::co_spawn(Context, askEndpoint(action.Endpoint), asio::detached);
 }
 
-/// The attempt ends as broken off or lost and the call goes on elsewhere.
+/// Closes the attempt's connection. The attempt then ends as BrokeOff or Lost,
+/// and the request migrates to another endpoint.
 void DirectTraffic::perform(StopAttempt &action) {
   auto it = Calls.find(action.Call);
   if (it == Calls.end() || !it->second->Connection)
@@ -381,7 +385,8 @@
   RankLink link(Context, endpoint.Address);
   Result<RankStatus> status = co_await link.readReport();
   std::optional<EndpointCondition> condition;
-  // A later life says nothing of this one, which has ended.
+  // A later incarnation's report does not apply to the one that was queried,
+  // which has exited.
   bool isLater = status && status.value().Life.get() != endpoint.Life.get() &&
                  endpoint.Life.get() != 0;
   if (status && !isLater) {
@@ -401,7 +406,8 @@
   apply(Node.onTold(endpoint.Id, condition, monotonicNow()));
 }
 
-/// Closing the connection to the endpoint tells it that nobody waits.
+/// Closes the connection to the endpoint, so that the endpoint can cancel the
+/// request.
 void DirectTraffic::onCallerGone(CallId id) {
   auto it = Calls.find(id);
   if (it == Calls.end())
--- a/lib/Process/EntryRole.cpp
+++ b/lib/Process/EntryRole.cpp
@@ -1,6 +1,6 @@
 //===- EntryRole.cpp - the entry process ----------------------------------===//
 //
-// Puts the control thread and the traffic thread of an entry together.
+// Creates and connects the control thread and the traffic thread of an entry.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,12 +19,12 @@
 using namespace ospreyspur;
 
 namespace {
-/// All parts of an entry.
+/// All components of an entry process.
 class EntryProcess {
 public:
   explicit EntryProcess(const EntrySettings &settings);
 
-  /// Runs until a planned stop has ended. Errors: SettingInvalid.
+  /// Runs until a graceful shutdown is complete. Errors: SettingInvalid.
   Result<void> run();
 
 private:
@@ -64,7 +64,7 @@
     Threads.postToTraffic(
         [this, it = std::move(it)] { Traffic.setSnapshot(it); });
   };
-  // Nobody dials an entry.
+  // Entries accept no links from other processes.
   handlers.Answer = [](LinkId, const Message &) {};
   return handlers;
 }
@@ -78,7 +78,8 @@
   handlers.Close = [this] {
     Threads.postToTraffic([this] { Traffic.stopAccepting(); });
   };
-  // The platform's balancer confirms nothing: the whole notice is waited out.
+  // The platform's load balancer does not confirm that it has seen the stop, so
+  // IsConfirmed stays false and the whole notice period is waited out.
   handlers.AskProgress = [this](std::function<void(StopProgress)> done) {
     Threads.postToTraffic([this, done = std::move(done)] {
       StopProgress progress{Traffic.busyCount(), false};
--- a/lib/Process/EntryTraffic.cpp
+++ b/lib/Process/EntryTraffic.cpp
@@ -1,6 +1,7 @@
 //===- EntryTraffic.cpp - the entry's traffic thread ----------------------===//
 //
-// Bytes become inputs of the node, its actions become bytes.
+// Passes requests and received messages to the EntryNode, and performs the
+// node's actions.
 //
 //===----------------------------------------------------------------------===//
 
@@ -115,7 +116,8 @@
             makeErrorResponse(error->Code, error->RetryAfter));
         co_return;
       }
-      // Say why in the stream if its form allows, then close without an end.
+      // Report the error as an event if the response is an event stream, then
+      // close the connection without ending the response.
       if (isEvents)
         co_await exchange.writeStream(
             "event: error\ndata: " + formatErrorBody(error->Code) + "\n\n");
@@ -137,8 +139,8 @@
   Timer.set(Node.nextTimer());
 }
 
-/// Logs what was put down to requests, and keeps the store's quarantine equal
-/// to the node's.
+/// Logs the crashes that are attributed to requests, and writes changes of the
+/// node's quarantine to the store.
 void EntryTraffic::reportCrashes() {
   std::vector<CrashNote> notes = Node.takeCrashNotes();
   if (!notes.empty())
--- a/lib/Process/FateCheck.cpp
+++ b/lib/Process/FateCheck.cpp
@@ -1,9 +1,9 @@
-//===- FateCheck.cpp - asks whether an endpoint has ended -----------------===//
+//===- FateCheck.cpp - checks whether an endpoint has exited --------------===//
 //
-// A process that has ended refuses connections until it is started again,
-// which takes seconds; an engine then tells another life. While it ends, its
-// sockets are closed one by one: the listening one may still take a connection
-// that is reset a moment later.
+// Connections to a process that has exited are refused until the process is
+// restarted, which takes seconds; the engine then reports a new incarnation.
+// While a process exits, its sockets are closed one by one: the listening
+// socket may still accept a connection that is reset a moment later.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,13 +21,14 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// How long an endpoint that cut an answer has to take a connection; inside a
-/// region that takes milliseconds.
+/// How long a connection attempt to an endpoint that cut off a response may
+/// take; inside a region a connection is established within milliseconds.
 static constexpr Duration CheckTimeout = std::chrono::milliseconds(300);
 
-/// Looks at an endpoint that takes connections and drops them, and the pause
-/// between two. A connection that stays open for as long is one to a process
-/// that lives: a process that ends closes all that it has within a millisecond.
+/// Checks of an endpoint that accepts connections and drops them, and the time
+/// between two checks. A connection that stays open for FatePause belongs to a
+/// running process: an exiting process closes all its sockets within a
+/// millisecond.
 static constexpr unsigned FateLooks = 3;
 static constexpr Duration FatePause = std::chrono::milliseconds(25);
 
--- a/lib/Process/LoadExchange.cpp
+++ b/lib/Process/LoadExchange.cpp
@@ -17,7 +17,7 @@
 namespace asio = boost::asio;
 using asio::ip::udp;
 
-/// Datagrams that cannot be read, for each line in the log.
+/// One in this many unreadable datagrams is logged.
 static constexpr int LogOneIn = 100;
 
 LoadExchange::LoadExchange(asio::io_context &ioc, LoadExchangeHandlers handlers)
@@ -40,7 +40,8 @@
     Socket.non_blocking(true, ec);
   if (ec)
     return Error{ResultCode::SettingInvalid,
-                 "cannot take datagrams on " + address + ": " + ec.message()};
+                 "cannot receive UDP datagrams on " + address + ": " +
+                     ec.message()};
   receive();
   send();
   return boost::outcome_v2::success();
@@ -74,7 +75,8 @@
 
 void LoadExchange::send() {
   std::string bytes = encodeLoad(Handlers.MakeReport());
-  // A full link drops the report; the next one is due soon.
+  // Errors are ignored: if the link is full the report is lost, and the next
+  // one follows soon.
   boost::system::error_code ignored;
   for (const udp::endpoint &it : Peers)
     Socket.send_to(asio::buffer(bytes), it, 0, ignored);
--- a/lib/Process/LogWriter.cpp
+++ b/lib/Process/LogWriter.cpp
@@ -1,6 +1,7 @@
-//===- LogWriter.cpp - log lines that never hold up their writer ----------===//
+//===- LogWriter.cpp - non-blocking log output ----------------------------===//
 //
-// See LogWriter.h. At the end a reader that does not read gets a moment only.
+// See LogWriter.h. While the process ends, a reader that does not read is
+// waited for only briefly.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,9 +14,10 @@
 
 using namespace ospreyspur;
 
-/// How long one line may take to be read once the process ends.
+/// How long to wait until the output can be written, in ms, once the process
+/// ends.
 static constexpr int EndWaitMs = 100;
-/// The same while it runs; only the writer's own thread waits.
+/// The same while the process runs; only the writer's own thread waits.
 static constexpr int WaitMs = 1000;
 
 LogWriter::LogWriter(int fd) : File(fd), Thread([this] { run(); }) {
@@ -74,7 +76,8 @@
   }
 }
 
-/// False if nobody reads.
+/// Returns false if the write failed, or if the process ends and nobody reads
+/// the output.
 bool LogWriter::writeLine(const std::string &line) const {
   std::size_t done = 0;
   while (done < line.size()) {
--- a/lib/Process/MetricsServer.cpp
+++ b/lib/Process/MetricsServer.cpp
@@ -1,4 +1,4 @@
-//===- MetricsServer.cpp - a process's figures over HTTP ------------------===//
+//===- MetricsServer.cpp - a process's metrics over HTTP ------------------===//
 //
 // See MetricsServer.h.
 //
--- a/lib/Process/OperatorClient.cpp
+++ b/lib/Process/OperatorClient.cpp
@@ -1,6 +1,6 @@
 //===- OperatorClient.cpp - the operators' commands -----------------------===//
 //
-// A thin HTTP client; the admin port decides.
+// A thin HTTP client; the admin port validates and executes the command.
 //
 //===----------------------------------------------------------------------===//
 
@@ -43,7 +43,7 @@
   return request;
 }
 
-/// The exit status that says what \p response means.
+/// The exit status of the process for \p response.
 static int statusOf(const HttpResponse &response) {
   if (response.result() == http::status::ok)
     return 0;
--- a/lib/Process/PeerLinks.cpp
+++ b/lib/Process/PeerLinks.cpp
@@ -1,4 +1,4 @@
-//===- PeerLinks.cpp - the links that one thread dials --------------------===//
+//===- PeerLinks.cpp - outgoing links of one thread -----------------------===//
 //
 // See PeerLinks.h.
 //
--- a/lib/Process/PlannedStop.cpp
+++ b/lib/Process/PlannedStop.cpp
@@ -1,6 +1,7 @@
-//===- PlannedStop.cpp - ends a process without cutting requests ----------===//
+//===- PlannedStop.cpp - graceful shutdown of a process -------------------===//
 //
-// Polls the number of requests in flight; a stop is rare and short.
+// Polls the number of requests in flight. Notifications would not pay off, as a
+// stop is rare and short.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Process/PushbackLog.cpp
+++ b/lib/Process/PushbackLog.cpp
@@ -1,4 +1,4 @@
-//===- PushbackLog.cpp - what endpoints ask for, in the log ---------------===//
+//===- PushbackLog.cpp - log and metrics of pushback ----------------------===//
 //
 // See PushbackLog.h.
 //
@@ -14,7 +14,7 @@
 
 using namespace ospreyspur;
 
-/// One in so many values that cannot be read is logged.
+/// One in this many unreadable values is logged.
 static constexpr int LogOneIn = 100;
 
 void ospreyspur::logUnreadable(const EndpointId &endpoint,
--- a/lib/Process/RankAgent.cpp
+++ b/lib/Process/RankAgent.cpp
@@ -16,27 +16,32 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// Between two looks at the rank, about a step; asking it on its own host is
-/// free.
+/// Time between two status queries to the rank; about one step. Queries on the
+/// same host cost nothing.
 static constexpr Duration ReadEvery = std::chrono::milliseconds(60);
-/// What a group's samples of demand may take of its coordinator's link. The
-/// link also carries the group's orders, which must not wait.
+/// Share of the coordinator's link that a group's demand samples may use. The
+/// link also carries the group's orders, which must not be delayed.
 static constexpr double SampleShare = 0.2;
-/// The same for a group so large that its samples would come too rarely. On the
-/// users' large deployment a rank is then sampled each 0.8 s instead of 2.
+/// The same for a group so large that samples would otherwise be too rare. In
+/// the platform's large deployment a rank is then sampled every 0.8 s instead
+/// of every 2 s.
 static constexpr double LargestSampleShare = 0.5;
-/// What maps may take of it on the way out; samples come in.
+/// Share of the coordinator's link that maps may use. Maps are outgoing traffic
+/// and samples incoming, so the shares do not add up.
 static constexpr double MapShare = 0.4;
-/// Over which the agents of a group that start together spread their first look
-/// at its lease; a look takes some 5 ms.
+/// Period over which the agents of a group that start together spread their
+/// first read of the group's lease; a read takes some 5 ms.
 static constexpr Duration JoinSpread = std::chrono::milliseconds(100);
 static constexpr Duration CallTimeout = std::chrono::seconds(1);
-/// How long a coordinator leads a group of which it does not hear every rank.
+/// How long a coordinator acts without current reports of all ranks before it
+/// verifies its lease at the store.
 static constexpr Duration MaxIncomplete = std::chrono::milliseconds(2000);
-/// How long a coordinator that took over has before another one tries.
+/// How long an agent that tried to take a stalled group over lets the new
+/// coordinator recover the group before the agent may try again.
 static constexpr Duration TakeoverTime = std::chrono::milliseconds(1500);
 
-/// Bytes a second in \p share of this host's link; 0 if its rate is not known.
+/// Bytes per second in \p share of this host's link; 0 if the link's bandwidth
+/// is not known.
 static double linkBytes(const RankSettings &settings, double share) {
   constexpr double BytesPerMegabit = 1e6 / 8;
   return settings.LinkMbps * BytesPerMegabit * share;
@@ -83,7 +88,7 @@
                   },
                   [this](const EndpointId &) { Filter.reset(); }}) {}
 
-/// What members tell.
+/// Handles messages from the agents that report to this one.
 void RankAgent::onMessage(LinkId from, const Message &message) {
   if (const auto *status = std::get_if<RankStatus>(&message))
     takeStatus(*status, from);
@@ -96,7 +101,7 @@
   }
 }
 
-/// What the coordinator tells.
+/// Handles messages from the coordinator.
 void RankAgent::onOrderMessage(const EndpointId &from, const Message &message) {
   if (const auto *order = std::get_if<MapOrder>(&message)) {
     MapOrder whole = *order;
@@ -149,7 +154,10 @@
   apply(Switch.onTimer(now));
 }
 
-/// Ranks that no longer report may have found another coordinator.
+/// Checks whether this agent still holds the group's lease. A coordinator that
+/// lacks current reports of some rank for MaxIncomplete, or whose orders were
+/// fenced, doubts its lease: the missing ranks may report to another
+/// coordinator.
 void RankAgent::checkLease(TimePoint now) {
   if (Member && Member->Lease.isConfirmed(now))
     Consent.onConfirmed();
@@ -170,9 +178,10 @@
   lookAtLease();
 }
 
-/// Whether this agent is its group's coordinator. In an outage of the store the
-/// lease tells only where a later holder's orders fence those of this one;
-/// elsewhere all members must still follow.
+/// Whether this agent is its group's coordinator. While the store is
+/// unavailable, a held lease is sufficient only if the ranks check fencing
+/// tokens, as a later holder's orders then fence those of this one. Otherwise
+/// all members must still follow this agent.
 bool RankAgent::mayLead(TimePoint now) const {
   if (!Member || !Member->Lease.isHeld(now))
     return false;
@@ -180,7 +189,7 @@
          (Own && Consent.isFollowed(Own->Size, MemberConsent::Longest, now));
 }
 
-/// Whether to begin a change.
+/// Whether this agent may begin to change the map.
 bool RankAgent::mayBegin(TimePoint now) const {
   if (!mayLead(now))
     return false;
@@ -188,8 +197,9 @@
          (Own && Consent.isFollowed(Own->Size, MemberConsent::Fresh, now));
 }
 
-/// Whether ranks on other hosts may be ordered past their agents, which would
-/// refuse an earlier coordinator's orders where the rank does not.
+/// Whether this coordinator may bypass the agents of ranks on other hosts. An
+/// agent refuses the orders of an earlier coordinator, but a rank that does not
+/// check fencing tokens does not.
 bool RankAgent::mayReach(TimePoint now) const {
   if (Settings.ChecksFences)
     return true;
@@ -234,15 +244,15 @@
     takeStatus(status, std::nullopt);
     return;
   }
-  // Whoever holds a lease, confirmed or not, follows nobody.
+  // An agent that holds the lease, confirmed or not, follows no coordinator.
   if (Member->Lease.isHeld(now))
     return;
   report(status);
   watchForStall(status);
 }
 
-/// Takes the lease from a coordinator whose group stands still: it may have
-/// died or frozen in the middle of a change.
+/// Takes the lease from the coordinator of a stalled group, which may have
+/// crashed or frozen in the middle of a change.
 void RankAgent::watchForStall(const RankStatus &status) {
   TimePoint now = monotonicNow();
   if (!Stall.isStalled(status, now)) {
@@ -270,8 +280,9 @@
   Peers.send(EndpointId(address), LeaderCheck{Member->Group}, monotonicNow());
 }
 
-/// The first whose write comes gets the time to put the group in order; the
-/// others learn from the store's refusal who it is.
+/// Takes over the group's lease. The agent whose write reaches the store first
+/// becomes the coordinator and has TakeoverTime to recover the group; the
+/// store's refusal tells the others who the coordinator is.
 void RankAgent::takeOver(const RankStatus &status) {
   TimePoint now = monotonicNow();
   Stall.reset(now + TakeoverTime);
@@ -291,10 +302,11 @@
       status, LeaseHolder(key, Settings.linkListen(), makeLeaseLimits()));
   Switch.resign();
   Consent.clear();
-  // Ranks are numbered anew.
+  // The new group numbers its ranks independently of the previous one.
   Reach = ReachPlanner();
   FarRanks.clear();
-  // All agents of a group start together; one should be first.
+  // All agents of a group start together; a random delay lets one of them be
+  // first.
   std::uniform_int_distribution<Duration::rep> spread(0, JoinSpread.count());
   LeaseTimer.set(monotonicNow() + Duration(spread(Random)));
 }
@@ -331,7 +343,7 @@
   LeaseTimer.set(lease.nextTimer());
 }
 
-/// Hands the own rank's state to the coordinator.
+/// Sends the state of this agent's rank to the coordinator.
 void RankAgent::report(const RankStatus &status) {
   const std::string &address = Member->Lease.holder();
   if (address.empty() || address == Settings.linkListen())
@@ -343,7 +355,8 @@
     Peers.send(coordinator, *news, now);
 }
 
-/// A status of the coordinator's own rank has no link.
+/// Handles the status of a rank in the coordinator. \p from is empty for the
+/// coordinator's own rank.
 void RankAgent::takeStatus(const RankStatus &status,
                            std::optional<LinkId> from) {
   if (!Member || status.Group != Member->Group)
@@ -382,7 +395,7 @@
   logPhase();
 }
 
-/// Hands maps to the link as it has room for them.
+/// Sends queued maps as far as the link has capacity.
 void RankAgent::sendMaps() {
   TimePoint now = monotonicNow();
   while (std::optional<SendMapOrder> next = Lane.pop(now)) {
@@ -420,8 +433,8 @@
     sendOrQueue(action, link->second);
 }
 
-/// Maps wait for room on the link; whatever else goes to a rank makes void what
-/// waits for it.
+/// Queues orders with maps until the link has capacity, and sends other orders
+/// at once. A newer order to a rank replaces the one queued for this rank.
 void RankAgent::sendOrQueue(const SendMapOrder &action, LinkId link) {
   if (OrderLane::mustWait(action.Order)) {
     Lane.push(action);
@@ -441,7 +454,7 @@
     co_await readRank();
 }
 
-/// Passes the coordinator's order on to the own rank.
+/// Forwards the coordinator's order to this agent's rank.
 asio::awaitable<void> RankAgent::giveFor(EndpointId from, MapOrder order) {
   MapOrderReply reply;
   reply.Id = order.Id;
--- a/lib/Process/RankLink.cpp
+++ b/lib/Process/RankLink.cpp
@@ -1,4 +1,4 @@
-//===- RankLink.cpp - reading and ordering one rank -----------------------===//
+//===- RankLink.cpp - status queries and orders to one rank ---------------===//
 //
 // See RankLink.h.
 //
@@ -11,7 +11,7 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// A rank on the same host answers within a millisecond or two.
+/// A rank on the same host responds within 1 to 2 ms.
 static constexpr Duration CallTimeout = std::chrono::milliseconds(400);
 
 asio::awaitable<Result<std::string>> RankLink::fetch(HttpRequest request) {
@@ -20,7 +20,8 @@
   if (!response)
     co_return response.error();
   if (response.value().result_int() != 200)
-    co_return Error{ResultCode::PlatformBadAnswer, "a rank does not answer"};
+    co_return Error{ResultCode::PlatformBadAnswer,
+                    "the rank's HTTP status is not 200"};
   co_return std::move(response.value().body());
 }
 
@@ -59,7 +60,8 @@
   co_return boost::outcome_v2::success();
 }
 
-/// A placement changes only with its map.
+/// Reads the rank's placement unless it is known already: a placement changes
+/// only with the rank's incarnation, the group's formation or the map.
 asio::awaitable<Result<void>> RankLink::readPlacement(RankStatus &out) {
   std::tuple wanted(out.Life, out.Formation, out.Map);
   if (PlacementOf != wanted) {
@@ -79,8 +81,9 @@
 
 asio::awaitable<MapOrderResult> RankLink::give(MapOrder order) {
   HttpRequest request = platform::makeOrderCall(order);
-  // A second copy says the same under the same token, and a step that waits for
-  // it must not wait for the coordinator to notice.
+  // Retry at once if the connection is lost: a second copy of the order has the
+  // same fencing token and the same effect, and a step that waits for the order
+  // must not wait until the coordinator retries.
   Result<HttpResponse> response = co_await Client.call(
       std::move(request), CallTimeout, Repetition::AfterLostConnection);
   if (response)
--- a/lib/Process/RankPlans.cpp
+++ b/lib/Process/RankPlans.cpp
@@ -1,7 +1,7 @@
-//===- RankPlans.cpp - when a coordinator changes the map -----------------===//
+//===- RankPlans.cpp - planning of expert placements ----------------------===//
 //
-// The part of RankAgent that reads the engine's figures, plans placements and
-// logs what the group does. See RankAgent.h.
+// The part of RankAgent that reads the engine's parameters, plans placements
+// and logs the state of the group. See RankAgent.h.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,23 +14,24 @@
 
 using namespace ospreyspur;
 
-// Found by trials on fixed days of traffic; docs/PLATFORM.md says which.
+// docs/PLATFORM.md describes the traffic for which these values were set.
 
-/// Between two plans.
+/// Time between two plans.
 static constexpr Duration PlanEvery = std::chrono::milliseconds(100);
-/// Between two lines in the log about a group.
+/// Time between two log lines about a group.
 static constexpr Duration GroupLineEvery = std::chrono::seconds(1);
-/// Between two tries to read the engine's figures.
+/// Time between two attempts to read the engine's parameters.
 static constexpr Duration FiguresRetry = std::chrono::seconds(1);
-/// For how long each waits. They come with the whole configuration, some 0.3
-/// MB, over a narrow link that is busiest when a large group has just been
-/// formed. Given up after a second and begun again, the read filled that link
-/// for good and its group kept the map that it was formed with.
+/// Timeout of such a read. The parameters are part of the whole configuration,
+/// some 0.3 MB, and are read over a narrow link that is busiest just after a
+/// large group was formed. With a timeout of 1 s, abandoned and restarted reads
+/// filled the link permanently, and the group kept its initial map.
 static constexpr Duration FiguresTimeout = std::chrono::seconds(5);
-/// Skew that a change must save: below, copying costs more than it gains.
+/// Smallest reduction of the skew for which the map is changed; below this,
+/// copying experts costs more than the change gains.
 static constexpr double MinSkewGain = 0.2;
-/// From this skew on, steps are so slow that a change should bring more; a
-/// group that was just formed has 3.3.
+/// Above this skew, steps are so slow that a change may replace more experts at
+/// once; a newly formed group has a skew of 3.3.
 static constexpr double HighSkew = 2.5;
 
 void RankAgent::readFigures() {
@@ -44,7 +45,8 @@
     Result<FleetConfig> config =
         reply.Code == ResultCode::Ok
             ? platform::readConfig(reply.Value)
-            : Result<FleetConfig>(Error{reply.Code, "no answer of use"});
+            : Result<FleetConfig>(
+                  Error{reply.Code, "cannot read the configuration"});
     if (!config) {
       LOG(WARNING) << LogEvent("figures.unknown")
                           .with("code",
@@ -93,7 +95,8 @@
                                        Switch.paces());
 }
 
-/// One line a second of what the group does, for whoever looks for pauses.
+/// Logs one line a second about the group's steps and load imbalance, which
+/// shows pauses of the group.
 void RankAgent::logGroup() {
   TimePoint now = monotonicNow();
   if (now < NextGroupLine || !Switch.canBegin(now) || !fitsFigures())
@@ -111,7 +114,7 @@
                    .with("skew", present.SkewBefore);
 }
 
-/// Whether the engine's figures are known and agree with what ranks report.
+/// Whether the engine's parameters are known and match the ranks' reports.
 bool RankAgent::fitsFigures() const {
   if (!Figures || Figures->ExpertSets == 0 || Switch.ranks().empty())
     return false;
@@ -121,7 +124,7 @@
          Demand.total() > 0;
 }
 
-/// The word for \p phase in logs.
+/// The name of \p phase in logs and metrics.
 static const char *phaseWord(SwitchPhase phase) {
   switch (phase) {
   case SwitchPhase::Idle:
--- a/lib/Process/RankReach.cpp
+++ b/lib/Process/RankReach.cpp
@@ -1,7 +1,7 @@
-//===- RankReach.cpp - ranks whose agents do not answer -------------------===//
+//===- RankReach.cpp - ranks whose agents send no reports -----------------===//
 //
-// The part of RankAgent with which a coordinator reads and orders ranks on
-// other hosts itself. See RankAgent.h.
+// The part of RankAgent with which a coordinator bypasses the agents on other
+// hosts, to query their ranks and send them orders. See RankAgent.h.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,12 +15,12 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// Failed reads for each line in the log.
+/// One in this many failed reads is logged.
 static constexpr int UnreachableOneIn = 10;
-/// How old a rank's report may be when asked from another host: the engines
-/// state 200 ms; taken with a margin.
+/// How old a rank's report may be when read from another host. The engines
+/// specify 200 ms; the rest is a margin.
 static constexpr Duration FarReportLag = std::chrono::milliseconds(300);
-/// After this time a read of the list of endpoints is given up.
+/// Timeout of a read of the list of endpoints.
 static constexpr Duration ListTimeout = std::chrono::seconds(1);
 
 void RankAgent::reachSilentRanks(TimePoint now) {
@@ -32,7 +32,7 @@
     spawn(readFar(it));
 }
 
-/// Looks in the list of endpoints for ranks whose addresses are not known.
+/// Reads the list of endpoints to find ranks whose addresses are not known.
 asio::awaitable<void> RankAgent::readCandidates() {
   KvCall call = KvList{platform::EndpointPrefix, true};
   KvReply reply = co_await Platform.ask(std::move(call), ListTimeout);
@@ -50,7 +50,7 @@
   Reach.setCandidates(std::move(addresses));
 }
 
-/// The way past the agents to the rank at \p address.
+/// The link that bypasses the agent of the rank at \p address.
 std::shared_ptr<RankLink> RankAgent::farLink(const TcpAddress &address) {
   std::shared_ptr<RankLink> &link = FarLinks[address];
   if (!link)
@@ -92,11 +92,12 @@
   apply(Switch.onReply(rank, reply, monotonicNow()));
 }
 
-/// The link over which the repeat of an order goes; null for one that goes as
-/// the first copy did. What waits for a retransmission on the agent's link
-/// holds up every later copy on it, too, so every second one goes to the rank
-/// itself; one at a time, as it is paid for. Copies on two ways may overtake
-/// each other: only ranks that compare tokens take the right one for the last.
+/// The direct link on which a retry of an order is sent; null if the retry is
+/// sent to the rank's agent, as the first copy was. On the agent's link a TCP
+/// retransmission delays every later copy, too, so every second copy is sent to
+/// the rank itself, but only one at a time, as such calls are charged for.
+/// Copies on two links may overtake each other; only ranks that compare fencing
+/// tokens then keep the newest order.
 std::shared_ptr<RankLink> RankAgent::repeatLink(const SendMapOrder &action) {
   auto status = Switch.ranks().find(action.Rank);
   if (!Settings.ChecksFences || action.Tries % 2 == 0 ||
@@ -108,10 +109,11 @@
   return farLink(address.value());
 }
 
-/// The link over which a change's first hold goes; null for other orders. A
-/// host that froze as it passed the order on would keep its rank, which holds
-/// the step, out of reach: the order goes to the rank itself, though that is
-/// paid for. If this host freezes instead, others can release the step.
+/// The direct link on which the first Hold order of a change is sent; null for
+/// other orders. If the order went through an agent whose host freezes while it
+/// forwards the order, the rank that holds the step could not be reached. So
+/// the order is sent to the rank itself, though such calls are charged for. If
+/// this host freezes instead, other agents can release the step.
 std::shared_ptr<RankLink> RankAgent::holdLink(const SendMapOrder &action) {
   bool isFirstHold = action.Order.Kind == MapOrderKind::Hold &&
                      Switch.phase() == SwitchPhase::Holding;
--- a/lib/Process/RankRole.cpp
+++ b/lib/Process/RankRole.cpp
@@ -1,6 +1,6 @@
 //===- RankRole.cpp - the process beside a rank ---------------------------===//
 //
-// An agent has no traffic: one thread does all.
+// The agent of a rank handles no callers' traffic, so one thread is sufficient.
 //
 //===----------------------------------------------------------------------===//
 
@@ -35,7 +35,8 @@
     agent.stop();
     ioc.stop();
   });
-  // What an agent reads of its settings holds until its next start.
+  // A changed file is only validated; the agent applies its settings at the
+  // next start.
   SettingsWatch watch(ioc, settings.File, [](SettingsReader &reader) {
     readRankSettings(reader);
     reader.finish();
--- a/lib/Process/SettingsWatch.cpp
+++ b/lib/Process/SettingsWatch.cpp
@@ -1,4 +1,4 @@
-//===- SettingsWatch.cpp - notices a changed settings file ----------------===//
+//===- SettingsWatch.cpp - reloads a changed settings file ----------------===//
 //
 // See SettingsWatch.h.
 //
