--- a/unittests/Process/AgentPushbackTest.cpp
+++ b/unittests/Process/AgentPushbackTest.cpp
@@ -1,7 +1,8 @@
-//===- AgentPushbackTest.cpp - endpoints in need behind an agent ----------===//
+//===- AgentPushbackTest.cpp - pushback from an agent's endpoint ----------===//
 //
-// A real agent before an endpoint on sockets that asks for less in its answers,
-// and a link on which requests are offered as often as the agent takes them.
+// Runs an agent in front of an endpoint that sends pushback in its responses,
+// over real sockets. A link offers requests every 20 ms and sends those that
+// the agent accepts.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +18,7 @@
 using std::chrono::seconds;
 
 namespace {
-/// An agent, its endpoint and an entry's link.
+/// An agent, its endpoint and a link from an entry.
 class AgentWorld {
 public:
   explicit AgentWorld(NeedyEndpoint::Answer answer)
@@ -38,7 +39,7 @@
   AgentWorld(const AgentWorld &) = delete;
   AgentWorld &operator=(const AgentWorld &) = delete;
 
-  /// Offers a request each 20 ms for \p span.
+  /// Offers a request every 20 ms for \p span.
   void load(Duration span) {
     End = monotonicNow() + span;
     offer();
@@ -46,7 +47,7 @@
   }
 
   const std::vector<Arrival> &arrivals() const { return Endpoint.arrivals(); }
-  /// What the agent said to those that it did not take.
+  /// The agent's replies to the requests that it did not accept.
   const std::vector<ProbeReply> &refusals() const { return Refusals; }
 
 private:
@@ -107,21 +108,23 @@
 };
 } // namespace
 
-// An agent handed its endpoint all that it had places for.
-TEST_CASE("an agent gives its endpoint no more requests than the rate it "
-          "names") {
+// Guards against an agent that ignores its endpoint's rate limit and sends as
+// many requests as the endpoint has slots.
+TEST_CASE("an agent sends its endpoint no more requests than the rate limit "
+          "that the endpoint advertises") {
   AgentWorld world([](HttpResponse &answer) {
     answer.set("Ospreyspur-Rate-Limit", "2");
     return 200U;
   });
   world.load(seconds(5));
-  // Two a second, and what came before the first answer.
+  // Two requests a second, and those sent before the first response.
   CHECK(world.arrivals().size() <= 14);
   CHECK(world.arrivals().size() >= 6);
 }
 
-// An agent went on handing requests to an endpoint that turned all away.
-TEST_CASE("an agent gives its endpoint nothing in a pause that it asks for") {
+// Guards against an agent that keeps sending requests to an endpoint that
+// refuses all of them.
+TEST_CASE("an agent sends its endpoint nothing during a backoff") {
   AgentWorld world([](HttpResponse &answer) {
     answer.set("Retry-After", "2");
     return 503U;
@@ -133,14 +136,14 @@
   CHECK(std::none_of(arrivals.begin(), arrivals.end(), [&](const Arrival &it) {
     return it.At > first + milliseconds(500) && it.At < first + seconds(2);
   }));
-  // It is tried again afterwards.
+  // The endpoint gets requests again afterwards.
   CHECK(arrivals.back().At >= first + seconds(2));
 }
 
-// An agent took requests for an endpoint that had said that it leaves, as long
-// as the host list did not say so.
-TEST_CASE("an agent takes nothing more for an endpoint that says in an answer "
-          "that it leaves") {
+// Guards against an agent that takes requests for a leaving endpoint until the
+// host list, too, shows that the endpoint is leaving.
+TEST_CASE("an agent takes no more requests once a response of its endpoint "
+          "says that the endpoint is leaving") {
   AgentWorld world([](HttpResponse &answer) {
     answer.set("Ospreyspur-Leaving", "1");
     return 200U;
--- a/unittests/Process/CrashingRequestTest.cpp
+++ b/unittests/Process/CrashingRequestTest.cpp
@@ -1,14 +1,12 @@
-//===- CrashingRequestTest.cpp - a request that ends its endpoints --------===//
+//===- CrashingRequestTest.cpp - a request that crashes endpoints ---------===//
 //
-// Seen: one request came again and again, each time with another id and at any
-// entry. Each endpoint that began it ended, with all that it ran; eleven ended
-// in eight seconds, and whole groups stood still.
-// How: an entry that lost the endpoint sent the request to the next one, and
-// when its caller came back another entry knew nothing of the first.
-// Cause: a lost attempt was evidence against the endpoint only, never against
-// the request, and nothing of it was kept beyond the call.
-// Proved by: real entries before endpoints that end on one body, below; red as
-// long as the request is sent on after the third one.
+// Guards against a request that is sent to one endpoint after the other and
+// crashes each, with all other requests that run there. Its caller retries at
+// any entry with a new request id. If entries attribute a lost attempt only to
+// the endpoint and forget the attempt with the call, nothing stops the request:
+// eleven endpoints crashed in eight seconds and whole groups stalled. Real
+// entries run in front of endpoints that crash on one request body; the request
+// must not be sent on after the third crash.
 //
 //===----------------------------------------------------------------------===//
 
@@ -36,12 +34,13 @@
 using std::chrono::milliseconds;
 
 static constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-static constexpr std::string_view Deadly = "ends whoever runs it";
-/// How long an endpoint takes to start again.
+static constexpr std::string_view Deadly = "crashes any endpoint that runs it";
+/// How long an endpoint takes to restart.
 static constexpr milliseconds DownTime(400);
-/// How long it may still take connections when it has cut its answers.
+/// How long a crashing endpoint may accept connections after it has cut off its
+/// responses.
 static constexpr milliseconds ClosingTime(5);
-/// How long it works before it answers, or ends.
+/// How long an endpoint runs a request before it responds or crashes.
 static constexpr milliseconds RunTime(30);
 
 static asio::awaitable<void> pause(milliseconds span) {
@@ -50,8 +49,8 @@
 }
 
 namespace {
-/// An endpoint whose process ends when it runs the deadly body, and is started
-/// again under the same name and address.
+/// An endpoint that crashes when it runs the crashing body, and is restarted
+/// under the same name and address.
 class MortalEndpoint {
 public:
   MortalEndpoint(asio::io_context &ioc, std::string name,
@@ -72,8 +71,8 @@
     return out;
   }
 
-  /// Ends the process, whatever it runs. Its sockets close one by one, at times
-  /// the listening one last.
+  /// Simulates a crash of the process. Its sockets close one by one; after
+  /// listenLast() the listening socket closes last.
   void crash() {
     boost::system::error_code ec;
     if (!ListensLast)
@@ -88,7 +87,7 @@
   void listenLast() { ListensLast = true; }
 
   bool isUp() const { return Acceptor.is_open(); }
-  /// Lives that ended under the deadly body.
+  /// Number of crashes caused by the crashing body.
   unsigned deaths() const { return Deaths; }
 
 private:
@@ -126,7 +125,7 @@
     }
   }
 
-  /// One request a connection.
+  /// Serves the only request of a connection.
   asio::awaitable<void> serve(Socket socket) {
     std::string text;
     auto [ec, n] = co_await asio::async_read_until(
@@ -172,10 +171,10 @@
   std::set<Socket> Open;
 };
 
-/// What callers were told, by status.
+/// Number of responses to callers, by status line.
 using Told = std::map<std::string, unsigned>;
 
-/// Some real entries before some such endpoints.
+/// Real entries in front of such endpoints.
 class MortalWorld {
 public:
   MortalWorld(unsigned entries, unsigned endpoints) {
@@ -186,7 +185,7 @@
       addEntry();
   }
 
-  /// Starts one more entry, which knows nothing. Returns its number.
+  /// Starts one more entry, which knows of no crashes. Returns its index.
   unsigned addEntry() {
     auto own = std::make_unique<DirectSettings>();
     own->Name = "n" + std::to_string(Entries.size());
@@ -299,12 +298,12 @@
 };
 } // namespace
 
-/// Endpoints that may end in all: three before the request is known for what it
-/// is, and three more that it may reach at once.
+/// Most crashes allowed: three until the request is quarantined, and three more
+/// endpoints that may run the request at the same time.
 static constexpr unsigned MostDeaths = 6;
 static constexpr std::string_view Served = "HTTP/1.1 200";
 
-TEST_CASE("a request that ends its endpoints is not sent on for ever") {
+TEST_CASE("a request that crashes endpoints is not sent on without limit") {
   constexpr unsigned Entries = 3;
   MortalWorld world(Entries, 8);
   Told deadly;
@@ -324,11 +323,11 @@
   for (const auto &[status, n] : deadly)
     answered += n;
   CHECK(answered == 40);
-  // What ran beside it once goes on elsewhere.
+  // Requests that ran on the same endpoints are retried on others.
   CHECK(innocent[std::string(Served)] >= Innocent - 2);
 }
 
-TEST_CASE("an end is seen though the endpoint still takes connections") {
+TEST_CASE("a crash is detected though the endpoint accepts connections") {
   constexpr unsigned Entries = 3;
   MortalWorld world(Entries, 8);
   world.listenLast();
@@ -341,7 +340,7 @@
   CHECK(world.deaths() <= MostDeaths);
 }
 
-TEST_CASE("no request is refused because endpoints end by themselves") {
+TEST_CASE("no request is refused for crashes that no request causes") {
   constexpr unsigned Entries = 3;
   MortalWorld world(Entries, 8);
   for (unsigned i = 0; i < 12; ++i)
@@ -356,7 +355,7 @@
   CHECK(told[std::string(Served)] >= Requests - 2);
 }
 
-TEST_CASE("an entry that starts learns from the others what not to run") {
+TEST_CASE("a new entry learns of quarantined requests from other entries") {
   constexpr unsigned Entries = 3;
   MortalWorld world(Entries, 8);
   Told deadly;
--- a/unittests/Process/DirectTrafficTest.cpp
+++ b/unittests/Process/DirectTrafficTest.cpp
@@ -1,8 +1,8 @@
 //===- DirectTrafficTest.cpp - silent endpoints over real sockets ---------===//
 //
-// An endpoint that says nothing for a while in the middle of a stream: the
-// stream goes on elsewhere if it can, and else its caller is kept, as the
-// endpoint may go on.
+// An endpoint that sends nothing for a while in the middle of a stream. The
+// stream must migrate to another endpoint if possible; otherwise the caller's
+// connection must stay open, as the endpoint may continue.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,7 +32,7 @@
 static constexpr std::string_view EndOfStream = "\r\n0\r\n\r\n";
 
 namespace {
-/// An endpoint that writes one event, is silent, and writes another.
+/// An endpoint that writes one event, pauses, and writes another.
 class PausingEndpoint {
 public:
   PausingEndpoint(asio::io_context &ioc, Duration pause)
@@ -43,7 +43,7 @@
   }
 
   const tcp::endpoint &address() const { return Address; }
-  /// The event after which each request asked to go on; empty for the first.
+  /// The Last-Event-Id of each request; empty for one that starts the stream.
   const std::vector<std::string> &requests() const { return Requests; }
 
 private:
@@ -71,7 +71,8 @@
   tcp::endpoint Address;
 };
 
-/// An entry before some endpoints, each made with \p argument.
+/// An entry in front of endpoints that are each constructed with an argument of
+/// the test.
 template <typename Endpoint> class TrafficWorld {
 public:
   template <typename Argument>
@@ -93,8 +94,9 @@
     Traffic.setSnapshot(snapshot);
   }
 
-  /// Everything that a caller gets until \p end or until its connection ends.
-  /// It hangs up after a time in which each test's answer has long come.
+  /// Sends a request and returns all data received until \p end or until the
+  /// connection is closed. The caller gives up after CallerPatience, by which
+  /// time each test's response should long be complete.
   std::string call(std::string_view end = EndOfStream) {
     tcp::socket socket(Context);
     socket.connect(parseAddress(Settings.Listen).value());
@@ -148,7 +150,8 @@
 } // namespace
 
 namespace {
-/// Answers that it failed, or ends the connection without an answer.
+/// An endpoint that responds with status 500, or closes the connection without
+/// a response.
 class FailingEndpoint {
 public:
   FailingEndpoint(asio::io_context &ioc, unsigned &served)
@@ -161,7 +164,8 @@
   const tcp::endpoint &address() const { return Address; }
 
 private:
-  /// The first request of all is answered, later ones are lost.
+  /// The first request to any of the endpoints gets a response; for later ones
+  /// the connection is closed.
   static asio::awaitable<void> run(HttpExchange &exchange, unsigned &served) {
     if (served++ > 0) {
       exchange.cut();
@@ -179,7 +183,7 @@
 };
 } // namespace
 
-TEST_CASE("a caller whose request failed once and was lost then hears so") {
+TEST_CASE("a request that failed once and then lost its connection gets 502") {
   unsigned served = 0;
   TrafficWorld<FailingEndpoint> world(2, served);
   std::string text = world.call("\r\n\r\n");
@@ -187,11 +191,11 @@
   CHECK(text.starts_with("HTTP/1.1 502"));
 }
 
-/// Longer than any silence after which a stream is moved.
+/// Longer than any idle period after which a stream migrates.
 static constexpr Duration LongPause =
     DirectLimits().MaxSilence + std::chrono::milliseconds(400);
 
-TEST_CASE("a silent stream that has nowhere to go is not cut") {
+TEST_CASE("an idle stream is not cut off if no other endpoint is available") {
   TrafficWorld<PausingEndpoint> world(1, LongPause);
   std::string text = world.call();
   CHECK(text.find("first") != std::string::npos);
@@ -200,7 +204,8 @@
   CHECK(world.endpoints().front().requests().size() == 1);
 }
 
-TEST_CASE("a silent stream goes on after its last event where there is room") {
+TEST_CASE("an idle stream migrates and resumes after its last event if another "
+          "endpoint has free slots") {
   TrafficWorld<PausingEndpoint> world(2, Duration(std::chrono::seconds(60)));
   std::string text = world.call();
   CHECK(text.find("second") != std::string::npos);
--- a/unittests/Process/LeavingEndpointTest.cpp
+++ b/unittests/Process/LeavingEndpointTest.cpp
@@ -1,7 +1,7 @@
-//===- LeavingEndpointTest.cpp - endpoints that say that they leave -------===//
+//===- LeavingEndpointTest.cpp - leaving reported in responses ------------===//
 //
-// Endpoints that say in their answers, and nowhere else, that they are leaving,
-// over real sockets.
+// Endpoints that report only in their responses that they are leaving, over
+// real sockets.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,10 +13,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// What an endpoint said of its leaving counted only once the store said it,
-// too.
-TEST_CASE("an endpoint that says in an answer that it leaves gets nothing "
-          "more") {
+// Guards against entries that ignore the header by which an endpoint reports
+// that it is leaving, and wait until the store shows the same.
+TEST_CASE("an endpoint that reports in a response that it is leaving gets no "
+          "more requests") {
   constexpr unsigned Entries = 4;
   NeedyWorld world({[](HttpResponse &answer) {
                       answer.set("Server-Leaving", "1");
@@ -29,7 +29,8 @@
   world.run(seconds(3) + milliseconds(500));
   const std::vector<Arrival> &arrivals = world.endpoint(0).arrivals();
   REQUIRE_FALSE(arrivals.empty());
-  // What was on its way still comes; the other entries are told.
+  // Requests in flight still arrive, and the first entry needs some time to
+  // report the leaving endpoint to the other entries.
   CHECK(arrivals.back().At - arrivals.front().At <= milliseconds(300));
   CHECK(world.told().at("HTTP/1.1 200") == Entries * 150);
 }
--- a/unittests/Process/NeedyWorld.h
+++ b/unittests/Process/NeedyWorld.h
@@ -1,8 +1,8 @@
-//===- NeedyWorld.h - entries before endpoints in need ----------*- C++ -*-===//
+//===- NeedyWorld.h - entries and endpoints with pushback -------*- C++ -*-===//
 //
-// Real entries and endpoints on sockets. The endpoints answer as a function of
-// the test says; when each request reached which endpoint, and from which entry
-// it came, is kept.
+// Real entries and endpoints on sockets. A function of the test makes the
+// endpoints' responses. Each endpoint records the time and the entry of each
+// request that it receives.
 //
 //===----------------------------------------------------------------------===//
 
@@ -36,17 +36,17 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-/// One request that reached an endpoint.
+/// One request that an endpoint received.
 struct Arrival {
-  /// The caller's name for it; begins with the entry's number and '-'.
+  /// The caller's request id; begins with the entry's number and '-'.
   std::string Label;
   TimePoint At;
 };
 
-/// An endpoint that answers every request with the head that the test makes.
+/// An endpoint that responds to every request with a head made by the test.
 class NeedyEndpoint {
 public:
-  /// Gives an answer's status and adds its headers.
+  /// Returns a response's status and adds its headers.
   using Answer = std::function<unsigned(HttpResponse &)>;
 
   NeedyEndpoint(asio::io_context &ioc, std::string name, Answer answer)
@@ -93,7 +93,7 @@
   tcp::endpoint Address;
 };
 
-/// Some real entries before such endpoints.
+/// Real entries in front of such endpoints.
 class NeedyWorld {
 public:
   explicit NeedyWorld(const std::vector<NeedyEndpoint::Answer> &answers) {
@@ -108,7 +108,7 @@
     publish();
   }
 
-  /// Sends \p n requests to each entry, one a \p pause.
+  /// Sends \p n requests to each entry, \p pause apart.
   void load(unsigned n, Duration pause) {
     for (unsigned i = 0; i < Entries.size(); ++i)
       asio::co_spawn(Context, callOften(i, n, pause), asio::detached);
@@ -122,8 +122,9 @@
   NeedyEndpoint &endpoint(unsigned i) {
     return *std::next(Endpoints.begin(), i);
   }
-  /// Callers' answers by status line; each with its Retry-After, if it had one.
+  /// Number of responses to callers by status line.
   const std::map<std::string, unsigned> &told() const { return Told; }
+  /// The Retry-After of each response to a caller that has one, in s.
   const std::vector<double> &retryAfters() const { return RetryAfters; }
 
 private:
--- a/unittests/Process/RateLimitedEndpointTest.cpp
+++ b/unittests/Process/RateLimitedEndpointTest.cpp
@@ -1,7 +1,7 @@
-//===- RateLimitedEndpointTest.cpp - endpoints that name a rate -----------===//
+//===- RateLimitedEndpointTest.cpp - advertised rate limits ---------------===//
 //
-// Endpoints that name in their answers how many requests a second they take
-// from all entries together, over real sockets.
+// Endpoints that advertise in their responses how many requests a second they
+// accept from all entries together, over real sockets.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,8 @@
 
 static unsigned namesNothing(HttpResponse & /*answer*/) { return 200; }
 
-/// Most arrivals within \p span after \p from.
+/// The largest number of arrivals in any period of length \p span that begins
+/// at or after \p from.
 static std::size_t mostWithin(const std::vector<Arrival> &arrivals,
                               Duration span, TimePoint from) {
   std::size_t most = 0;
@@ -37,14 +38,16 @@
   return most;
 }
 
-// An endpoint that named a rate got its share of all requests as before.
-TEST_CASE("an endpoint gets no more requests than the rate it names") {
+// Guards against entries that ignore an advertised rate limit and send the
+// endpoint its usual share of the requests.
+TEST_CASE("an endpoint gets no more requests than its advertised rate limit") {
   NeedyWorld world({namesOne, namesNothing, namesNothing});
   world.addEntries(Entries);
   world.load(350, milliseconds(20));
   TimePoint from = monotonicNow() + milliseconds(1000);
   world.run(seconds(7) + milliseconds(500));
-  // Two entries' worth beyond what passes in four seconds.
+  // Four requests in four seconds, and two more as two entries may each send
+  // one beyond the limit.
   CHECK(mostWithin(world.endpoint(0).arrivals(), seconds(4), from) <= 6);
   CHECK(world.endpoint(0).arrivals().size() >= 4);
   CHECK(world.told().at("HTTP/1.1 200") == Entries * 350);
--- a/unittests/Process/RestingEndpointTest.cpp
+++ b/unittests/Process/RestingEndpointTest.cpp
@@ -1,7 +1,7 @@
-//===- RestingEndpointTest.cpp - endpoints that ask for a pause -----------===//
+//===- RestingEndpointTest.cpp - endpoints in backoff ---------------------===//
 //
-// Endpoints that turn requests away and say for how long they want none of that
-// entry, over real sockets.
+// Endpoints that refuse requests with a Retry-After, during which the entry
+// must send them none, over real sockets.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,7 @@
 
 static constexpr unsigned Entries = 4;
 static constexpr Duration Rest = seconds(2);
-/// Requests that were on their way still come so long after a refusal.
+/// How long after a refusal requests in flight may still arrive.
 static constexpr Duration OnTheWay = milliseconds(500);
 
 static unsigned asksForRest(HttpResponse &answer) {
@@ -25,8 +25,8 @@
 
 static unsigned serves(HttpResponse & /*answer*/) { return 200; }
 
-/// Requests that came from an entry within a rest that it had been asked for,
-/// once those on their way had come.
+/// Number of requests that arrived from an entry during a backoff that this
+/// entry had received, apart from requests in flight at its beginning.
 static std::size_t countWithinRests(const std::vector<Arrival> &arrivals) {
   std::size_t n = 0;
   std::map<char, std::vector<TimePoint>> byEntry;
@@ -40,9 +40,9 @@
   return n;
 }
 
-// An endpoint that turned all away was the first choice again 100 ms later, as
-// nothing ran there.
-TEST_CASE("an endpoint that asks for a pause gets nothing until it ends") {
+// Guards against entries that prefer an endpoint that refuses everything again
+// after 100 ms, as no requests run there.
+TEST_CASE("an endpoint in backoff gets no requests until the backoff ends") {
   NeedyWorld world({asksForRest, serves, serves});
   world.addEntries(Entries);
   world.load(300, milliseconds(20));
@@ -52,7 +52,8 @@
   CHECK(world.told().at("HTTP/1.1 200") == Entries * 300);
 }
 
-TEST_CASE("callers hear at once that all endpoints rest, and return spread") {
+TEST_CASE("callers are refused with spread Retry-After values while all "
+          "endpoints are in backoff") {
   NeedyWorld world({asksForRest, asksForRest, asksForRest});
   world.addEntries(Entries);
   world.load(100, milliseconds(20));
--- a/unittests/Process/SuspendedHostTest.cpp
+++ b/unittests/Process/SuspendedHostTest.cpp
@@ -1,10 +1,11 @@
 //===- SuspendedHostTest.cpp - a host that is suspended for a while -------===//
 //
-// While a host is suspended its steady clock stands still; the world goes on,
-// with leases, reports and deadlines. What decides must see that time, and a
-// timer whose moment has passed must not wait for as long again.
+// While a host is suspended its steady clock stops, but leases, reports and
+// deadlines elsewhere expire. Decisions must count that time, and a timer that
+// expired during the suspension must not wait for the same time again.
 //
-// The clock that counts the suspension is moved on here for this whole process.
+// The tests advance the clock that counts suspensions, CLOCK_BOOTTIME, for this
+// whole process.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,10 +26,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// For how long this host has been suspended, in seconds.
+/// Simulated time for which this host has been suspended, in seconds.
 static std::atomic<long> suspended = 0;
 
-// Stands in for the C library's in this program.
+// Replaces the C library's function in this program.
 extern "C" int clock_gettime(clockid_t clock, timespec *out) noexcept {
   long rc = ::syscall(SYS_clock_gettime, clock, out);
   if (rc == 0 && clock == CLOCK_BOOTTIME)
@@ -36,7 +37,7 @@
   return static_cast<int>(rc);
 }
 
-TEST_CASE("the time that a host is suspended counts") {
+TEST_CASE("monotonicNow() counts the time that a host is suspended") {
   TimePoint before = monotonicNow();
   suspended += 5;
   CHECK(monotonicNow() - before >= seconds(5));
@@ -62,7 +63,7 @@
   ioc.run_for(milliseconds(50));
   REQUIRE_FALSE(isDue);
   suspended += 6;
-  // Two looks at the clock.
+  // A HostTimer reads the clock at least every 200 ms.
   ioc.run_for(milliseconds(600));
   CHECK(isDue);
 }
