--- a/include/ospreyspur/Process/AgentTraffic.h
+++ b/include/ospreyspur/Process/AgentTraffic.h
@@ -67,16 +67,16 @@
   void perform(const StopRun &action);
   boost::asio::awaitable<void> run(StartRun order,
                                    std::shared_ptr<HttpRunHandle> handle);
-  boost::asio::awaitable<void> watchEnd();
+  boost::asio::awaitable<void> awaitExit();
   void takePushback(RequestId id, const HttpRunHead &head);
-  boost::asio::awaitable<ResultCode> findEnd(RequestId id);
+  boost::asio::awaitable<ResultCode> classifyFailure(RequestId id);
 
   boost::asio::io_context &Context;
   const AgentSettings &Settings;
   Metrics &Measures;
   AgentNode Node;
   TcpAddress EndpointAddress;
-  bool IsWatchingEnd = false;
+  bool IsAwaitingExit = false;
   HttpClient Endpoint;
   NodeTimer Timer;
   ControlHandlers Control;
--- a/include/ospreyspur/Process/CrashLog.h
+++ b/include/ospreyspur/Process/CrashLog.h
@@ -15,9 +15,9 @@
 
 namespace ospreyspur {
 
-/// Logs and counts \p notes, and sets the metric of the number of records in
+/// Logs and counts \p records, and sets the metric of the number of records in
 /// \p tracker.
-void logCrashes(const std::vector<CrashNote> &notes,
+void logCrashes(const std::vector<CrashNote> &records,
                 const CrashTracker &tracker, Metrics &metrics);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Process/DirectAttempt.h
+++ b/include/ospreyspur/Process/DirectAttempt.h
@@ -33,7 +33,7 @@
   std::function<void()> OnData;
   /// Nothing was received for StartAttempt::Silence. Called again each time
   /// that this period passes once more without data.
-  std::function<void()> OnSilence;
+  std::function<void()> OnIdle;
 };
 
 /// One attempt to run a request at one endpoint.
@@ -45,7 +45,7 @@
   /// Runs the attempt until it ends.
   boost::asio::awaitable<AttemptEnd> run();
   /// Which side closed the connection; valid once run() has returned.
-  ConnectionEnd connectionEnd() const { return Ended; }
+  ConnectionEnd connectionEnd() const { return ClosedBy; }
 
 private:
   using Parser =
@@ -55,16 +55,16 @@
   boost::asio::awaitable<bool> send();
   boost::asio::awaitable<bool> readHead();
   boost::asio::awaitable<bool> readBody(std::string &body);
-  boost::asio::awaitable<AttemptEnd> passOnWhole();
-  boost::asio::awaitable<AttemptEnd> passOnEvents();
-  boost::asio::awaitable<bool> passOn(std::string events);
+  boost::asio::awaitable<AttemptEnd> forwardComplete();
+  boost::asio::awaitable<AttemptEnd> forwardEvents();
+  boost::asio::awaitable<bool> forward(std::string events);
   boost::asio::awaitable<boost::system::error_code> readSome(std::string &data);
-  AttemptEnd endOfBroken() const;
-  void noteError(const boost::system::error_code &ec);
-  void watchSilence(Duration pause);
+  AttemptEnd abortAttempt() const;
+  void recordError(const boost::system::error_code &ec);
+  void startIdleTimer(Duration pause);
   void watchDeadline();
-  void onSilenceTimer();
-  bool isOwnAnswer() const;
+  void onIdleTimer();
+  bool isOwnResponse() const;
   void returnUnused();
   void keepConnection();
 
@@ -74,7 +74,7 @@
   const StartAttempt &Order;
   AttemptHandlers Handlers;
   EndpointPool::Connection Connection;
-  std::optional<HostTimer> SilenceTimer;
+  std::optional<HostTimer> IdleTimer;
   std::optional<HostTimer> DeadlineTimer;
   /// Expires with this object, which a timer's handler may outlive.
   std::shared_ptr<bool> Alive = std::make_shared<bool>(true);
@@ -82,9 +82,9 @@
   /// response is written to the caller.
   std::optional<TimePoint> ReadingSince;
   TimePoint SentAt;
-  std::optional<Parser> Answer;
+  std::optional<Parser> Response;
   EndpointAnswer Head;
-  ConnectionEnd Ended = ConnectionEnd::Ours;
+  ConnectionEnd ClosedBy = ConnectionEnd::Ours;
   HttpResponse CallerHead;
 };
 
--- a/include/ospreyspur/Process/DirectTraffic.h
+++ b/include/ospreyspur/Process/DirectTraffic.h
@@ -70,11 +70,11 @@
     if (it != Calls.end())
       it->second->Inbox.post(std::move(action));
   }
-  boost::asio::awaitable<void> askEndpoint(EndpointRecord endpoint);
+  boost::asio::awaitable<void> queryStatus(EndpointRecord endpoint);
   boost::asio::awaitable<void> checkEndpoint(EndpointRecord endpoint);
-  boost::asio::awaitable<EndpointFate> findFate(EndpointRecord endpoint);
+  boost::asio::awaitable<EndpointFate> findLiveness(EndpointRecord endpoint);
   void takeReport(const LoadReport &report);
-  void takePushback(const EndpointId &id, const Pushback &asked,
+  void takePushback(const EndpointId &id, const Pushback &pushback,
                     std::optional<TimePoint> sentAt);
   void logWaits();
   void logPushback();
@@ -90,9 +90,9 @@
   boost::asio::io_context &Context;
   const DirectSettings &Settings;
   Metrics &Measures;
-  OnQuarantine TellQuarantine;
-  /// The last quarantine change that was passed to TellQuarantine.
-  std::uint64_t ToldChange = 0;
+  OnQuarantine ReportQuarantine;
+  /// The last quarantine change that was passed to ReportQuarantine.
+  std::uint64_t LastReportedChange = 0;
   /// Number of entries that share advertised rate limits, as last logged.
   std::size_t LoggedSharing = 0;
   DirectNode Node;
--- a/include/ospreyspur/Process/EntryTraffic.h
+++ b/include/ospreyspur/Process/EntryTraffic.h
@@ -66,7 +66,7 @@
   PlatformClient Platform;
   QuarantineSync Quarantine;
   /// The last quarantine change that was passed on to the store.
-  std::uint64_t ToldChange = 0;
+  std::uint64_t LastReportedChange = 0;
   NodeTimer Timer;
   std::shared_ptr<const RoutingSnapshot> Snapshot;
   PeerLinks Peers;
--- a/include/ospreyspur/Process/HostTimer.h
+++ b/include/ospreyspur/Process/HostTimer.h
@@ -28,12 +28,12 @@
 struct HostWaitTraits {
   /// Longest time between two reads of the clock. This adds few wakeups: a
   /// process wakes as often to send load reports or to read its rank.
-  static constexpr Duration LongestLook = std::chrono::milliseconds(200);
+  static constexpr Duration MaxWait = std::chrono::milliseconds(200);
 
   // The names are the library's.
   // NOLINTNEXTLINE(readability-identifier-naming)
   static Duration to_wait_duration(const Duration &span) {
-    return std::min(span, LongestLook);
+    return std::min(span, MaxWait);
   }
   // NOLINTNEXTLINE(readability-identifier-naming)
   static Duration to_wait_duration(const TimePoint &due) {
--- a/include/ospreyspur/Process/FateCheck.h
+++ b/include/ospreyspur/Process/LivenessCheck.h
@@ -1,12 +1,12 @@
-//===- FateCheck.h - checks whether an endpoint has exited ------*- C++ -*-===//
+//===- LivenessCheck.h - checks if an endpoint has exited -------*- C++ -*-===//
 //
 // Connects to an endpoint that cut off a response and finds out whether its
 // process has exited.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_PROCESS_FATECHECK_H
-#define OSPREYSPUR_PROCESS_FATECHECK_H
+#ifndef OSPREYSPUR_PROCESS_LIVENESSCHECK_H
+#define OSPREYSPUR_PROCESS_LIVENESSCHECK_H
 
 #include "ospreyspur/Quarantine/EndpointFate.h"
 #include "ospreyspur/Support/Address.h"
@@ -22,16 +22,18 @@
 
 /// Queries an endpoint whether it is still the same incarnation; empty if the
 /// endpoint does not report this.
-using LifeCheck = std::function<boost::asio::awaitable<std::optional<bool>>()>;
+using IncarnationCheck =
+    std::function<boost::asio::awaitable<std::optional<bool>>()>;
 
 /// Whether the process of the endpoint at \p address has exited. Without
-/// \p isSameLife, an endpoint that keeps a connection open counts as alive.
-boost::asio::awaitable<EndpointFate> checkFate(boost::asio::io_context &ioc,
-                                               TcpAddress address,
-                                               LifeCheck isSameLife = nullptr);
+/// \p isSameIncarnation, an endpoint that keeps a connection open counts as
+/// alive.
+boost::asio::awaitable<EndpointFate>
+checkLiveness(boost::asio::io_context &ioc, TcpAddress address,
+              IncarnationCheck isSameIncarnation = nullptr);
 
-/// The name of \p fate in logs and metrics.
-const char *toString(EndpointFate fate);
+/// The name of \p liveness in logs and metrics.
+const char *toString(EndpointFate liveness);
 
 /// Keeps a connection to \p address open until the other side closes it, or for
 /// \p limit. Waits a short time before it returns, also if the connection
@@ -41,4 +43,4 @@
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_PROCESS_FATECHECK_H
+#endif // OSPREYSPUR_PROCESS_LIVENESSCHECK_H
--- a/include/ospreyspur/Process/LoadExchange.h
+++ b/include/ospreyspur/Process/LoadExchange.h
@@ -37,7 +37,7 @@
   static constexpr Duration Interval = std::chrono::milliseconds(200);
   /// How long changes are collected into one report; a fraction of an engine
   /// iteration.
-  static constexpr Duration Gather = std::chrono::milliseconds(8);
+  static constexpr Duration CollectTime = std::chrono::milliseconds(8);
 
   LoadExchange(boost::asio::io_context &ioc, LoadExchangeHandlers handlers);
 
--- a/include/ospreyspur/Process/PlannedStop.h
+++ b/include/ospreyspur/Process/PlannedStop.h
@@ -27,7 +27,7 @@
     /// Stops accepting new requests.
     std::function<void()> Close;
     /// Passes the progress of the stop to its argument.
-    std::function<void(std::function<void(StopProgress)>)> AskProgress;
+    std::function<void(std::function<void(StopProgress)>)> QueryProgress;
     /// Ends the process.
     std::function<void()> End;
   };
--- a/include/ospreyspur/Process/PushbackLog.h
+++ b/include/ospreyspur/Process/PushbackLog.h
@@ -20,23 +20,23 @@
 
 namespace ospreyspur {
 
-/// Logs the malformed header value in \p asked, if there is one.
-void logUnreadable(const EndpointId &endpoint, const Pushback &asked,
-                   Metrics &metrics);
+/// Logs the malformed header value in \p pushback, if there is one.
+void logMalformedPushback(const EndpointId &endpoint, const Pushback &pushback,
+                          Metrics &metrics);
 
 /// Logs changes of advertised rate limits. \p nameOf returns an endpoint's
-/// name; \p limited is the number of endpoints that have a rate limit now.
-void logRates(const std::vector<RateLimitNote> &notes,
-              const std::function<EndpointId(LifeDigest)> &nameOf,
-              std::size_t limited, Metrics &metrics);
+/// name; \p limitedCount is the number of endpoints that have a rate limit now.
+void logRateLimits(const std::vector<RateLimitNote> &records,
+                   const std::function<EndpointId(LifeDigest)> &nameOf,
+                   std::size_t limitedCount, Metrics &metrics);
 
-/// Logs backoffs; \p resting is the number of endpoints in backoff now.
-void logRests(const std::vector<RestNote> &notes,
-              const std::function<EndpointId(LifeDigest)> &nameOf,
-              std::size_t resting, Metrics &metrics);
+/// Logs backoffs; \p backoffCount is the number of endpoints in backoff now.
+void logBackoffs(const std::vector<RestNote> &records,
+                 const std::function<EndpointId(LifeDigest)> &nameOf,
+                 std::size_t backoffCount, Metrics &metrics);
 
 /// Logs the endpoint incarnations that have reported that they are leaving.
-void logLeaving(const std::vector<LifeDigest> &lives,
+void logLeaving(const std::vector<LifeDigest> &incarnations,
                 const std::function<EndpointId(LifeDigest)> &nameOf,
                 Metrics &metrics);
 
--- a/include/ospreyspur/Process/RankAgent.h
+++ b/include/ospreyspur/Process/RankAgent.h
@@ -62,44 +62,44 @@
   };
 
   void tick();
-  void lookAtLease();
+  void updateLease();
   boost::asio::awaitable<void> readRank();
   void onStatus(const RankStatus &status);
   void join(const RankStatus &status);
   void onOrderTimer();
   void checkLease(TimePoint now);
-  bool mayLead(TimePoint now) const;
-  bool mayBegin(TimePoint now) const;
-  bool mayReach(TimePoint now) const;
+  bool canCoordinate(TimePoint now) const;
+  bool canBeginChange(TimePoint now) const;
+  bool canBypassAgents(TimePoint now) const;
   void watchForStall(const RankStatus &status);
   void askCoordinator();
   void takeOver(const RankStatus &status);
   void onMessage(LinkId from, const Message &message);
-  void onOrderMessage(const EndpointId &from, const Message &message);
+  void onCoordinatorMessage(const EndpointId &from, const Message &message);
   void report(const RankStatus &status);
   void onReply(LinkId from, const MapOrderReply &reply);
   void takeStatus(const RankStatus &status, std::optional<LinkId> from);
-  void reachSilentRanks(TimePoint now);
+  void bypassSilentAgents(TimePoint now);
   boost::asio::awaitable<void> readCandidates();
-  boost::asio::awaitable<void> readFar(TcpAddress address);
-  std::shared_ptr<RankLink> farLink(const TcpAddress &address);
-  boost::asio::awaitable<void> giveFar(std::shared_ptr<RankLink> link,
-                                       unsigned rank, MapOrder order);
+  boost::asio::awaitable<void> readDirectly(TcpAddress address);
+  std::shared_ptr<RankLink> directLink(const TcpAddress &address);
+  boost::asio::awaitable<void> sendDirectly(std::shared_ptr<RankLink> link,
+                                            unsigned rank, MapOrder order);
   void apply(const SwitchActions &actions);
   void perform(const SendMapOrder &action);
   void sendMaps();
   void sendOrQueue(const SendMapOrder &action, LinkId link);
-  std::shared_ptr<RankLink> holdLink(const SendMapOrder &action);
-  std::shared_ptr<RankLink> repeatLink(const SendMapOrder &action);
+  std::shared_ptr<RankLink> chooseHoldLink(const SendMapOrder &action);
+  std::shared_ptr<RankLink> chooseRetryLink(const SendMapOrder &action);
   void considerPlan();
   PlacementPlan makePlan(bool isUrgent) const;
-  void readFigures();
+  void readEngineSettings();
   void logPhase();
   void logGroup();
-  bool fitsFigures() const;
+  bool matchesEngineSettings() const;
   void spawn(boost::asio::awaitable<void> task);
-  boost::asio::awaitable<void> giveOwn(unsigned rank, MapOrder order);
-  boost::asio::awaitable<void> giveFor(EndpointId from, MapOrder order);
+  boost::asio::awaitable<void> sendToOwnRank(unsigned rank, MapOrder order);
+  boost::asio::awaitable<void> forwardOrder(EndpointId from, MapOrder order);
 
   boost::asio::io_context &Context;
   const RankSettings &Settings;
@@ -116,29 +116,29 @@
   MemberConsent Consent;
   OrderGate Gate;
   /// When this agent became the coordinator.
-  TimePoint LedSince;
+  TimePoint CoordinatorSince;
   MapSwitch Switch;
   SwitchPhase LoggedPhase = SwitchPhase::Idle;
   DemandMeter Demand;
   /// The parameters of the service's engine, once read.
-  std::optional<EngineFigures> Figures;
+  std::optional<EngineFigures> EngineSettings;
   /// When this coordinator last had current reports of all ranks.
   TimePoint CompleteAt;
-  TimePoint NextFigures;
+  TimePoint NextSettingsRead;
   TimePoint NextPlan;
-  TimePoint NextGroupLine;
+  TimePoint NextGroupLog;
   /// The link on which each rank's agent reports.
   std::map<unsigned, LinkId> Links;
   /// The maps that were sent to the group's agents.
   SentMaps Sent;
   OrderLane Lane;
   /// The map that this agent last received from a coordinator.
-  ToldMap Told;
+  ToldMap LastMap;
   /// Direct links to endpoints, for ranks whose agents send no reports.
-  std::map<TcpAddress, std::shared_ptr<RankLink>> FarLinks;
-  std::map<unsigned, std::shared_ptr<RankLink>> FarRanks;
+  std::map<TcpAddress, std::shared_ptr<RankLink>> DirectLinks;
+  std::map<unsigned, std::shared_ptr<RankLink>> DirectRanks;
   /// Ranks to which a retry is in flight that bypasses their agent.
-  std::set<unsigned> Repeating;
+  std::set<unsigned> RetriesInFlight;
   ReachPlanner Reach;
   NodeTimer Timer;
   NodeTimer LeaseTimer;
--- a/include/ospreyspur/Process/RankLink.h
+++ b/include/ospreyspur/Process/RankLink.h
@@ -32,7 +32,7 @@
   boost::asio::awaitable<Result<RankStatus>> readReport();
 
   /// Sends \p order to the rank and returns the rank's result.
-  boost::asio::awaitable<MapOrderResult> give(MapOrder order);
+  boost::asio::awaitable<MapOrderResult> sendOrder(MapOrder order);
 
 private:
   boost::asio::awaitable<Result<std::string>> fetch(HttpRequest request);
--- a/include/ospreyspur/Process/SettingsWatch.h
+++ b/include/ospreyspur/Process/SettingsWatch.h
@@ -36,7 +36,7 @@
 private:
   void waitForSignal();
   void waitForTime();
-  void look(const char *cause);
+  void reloadIfChanged(const char *cause);
 
   std::string Path;
   std::function<void(SettingsReader &)> OnChange;
--- a/lib/Process/AgentRole.cpp
+++ b/lib/Process/AgentRole.cpp
@@ -132,7 +132,7 @@
   };
   // The agent has taken no new requests since the announcement.
   handlers.Close = [] {};
-  handlers.AskProgress = [this](std::function<void(StopProgress)> done) {
+  handlers.QueryProgress = [this](std::function<void(StopProgress)> done) {
     Threads.postToTraffic([this, done = std::move(done)] {
       StopProgress progress = Traffic.stopProgress();
       Threads.postToControl([done, progress] { done(progress); });
--- a/lib/Process/AgentTraffic.cpp
+++ b/lib/Process/AgentTraffic.cpp
@@ -8,7 +8,7 @@
 #include "ospreyspur/Process/AgentTraffic.h"
 
 #include "ospreyspur/Http/HeaderValues.h"
-#include "ospreyspur/Process/FateCheck.h"
+#include "ospreyspur/Process/LivenessCheck.h"
 #include "ospreyspur/Process/PushbackLog.h"
 #include "ospreyspur/Support/LogEvent.h"
 
@@ -152,7 +152,7 @@
   ResultCode code = co_await Endpoint.run(std::move(request), sink, handle,
                                           Settings.EndpointIdle);
   if (code == ResultCode::EndpointFailed && Runs.contains(id))
-    code = co_await findEnd(id);
+    code = co_await classifyFailure(id);
   // If the run was stopped, it has been erased and its end reported already.
   if (Runs.erase(id) == 0)
     co_return;
@@ -161,51 +161,52 @@
 
 /// Whether the endpoint has ended, or only cut the answer to \p id.
 void AgentTraffic::takePushback(RequestId id, const HttpRunHead &head) {
-  Pushback asked =
+  Pushback pushback =
       readPushback({head.Status, headerValues(head.Fields, RateHeader),
                     headerValues(head.Fields, "Retry-After"),
                     std::string(head.Fields[http::field::date]),
                     headerValues(head.Fields, LeavingHeader)});
   EndpointId self(Settings.EndpointName);
-  logUnreadable(self, asked, Measures);
-  apply(Node.onPushback(id, asked, monotonicNow()));
+  logMalformedPushback(self, pushback, Measures);
+  apply(Node.onPushback(id, pushback, monotonicNow()));
   auto nameOf = [&](LifeDigest) { return self; };
-  logRates(Node.takeRateNotes(), nameOf, Node.rates().limitedCount(), Measures);
+  logRateLimits(Node.takeRateNotes(), nameOf, Node.rates().limitedCount(),
+                Measures);
   if (Node.closed().isEmpty())
     return;
   logLeaving(Node.takeLeavingNotes(), nameOf, Measures);
-  if (Node.saidLeaving() && !std::exchange(IsWatchingEnd, true))
-    asio::co_spawn(Context, watchEnd(), asio::detached);
-  logRests(Node.takeRestNotes(), nameOf,
-           Node.closed().restingCount(monotonicNow()), Measures);
+  if (Node.saidLeaving() && !std::exchange(IsAwaitingExit, true))
+    asio::co_spawn(Context, awaitExit(), asio::detached);
+  logBackoffs(Node.takeRestNotes(), nameOf,
+              Node.closed().restingCount(monotonicNow()), Measures);
 }
 
 /// Detects the exit of an endpoint that is leaving. As such an endpoint gets no
 /// requests that would fail, an idle connection to it is kept open instead.
-asio::awaitable<void> AgentTraffic::watchEnd() {
+asio::awaitable<void> AgentTraffic::awaitExit() {
   TimePoint end = monotonicNow() + MaxLeavingTime;
-  EndpointFate fate = EndpointFate::Alive;
+  EndpointFate liveness = EndpointFate::Alive;
   while (Node.saidLeaving() && monotonicNow() < end &&
-         fate != EndpointFate::Ended) {
+         liveness != EndpointFate::Ended) {
     co_await waitForClose(Context, EndpointAddress, end - monotonicNow());
-    fate = co_await checkFate(Context, EndpointAddress);
+    liveness = co_await checkLiveness(Context, EndpointAddress);
   }
-  IsWatchingEnd = false;
+  IsAwaitingExit = false;
   LOG(INFO) << LogEvent("endpoint.left")
                    .with("endpoint", Settings.EndpointName)
-                   .with("fate", toString(fate));
+                   .with("fate", toString(liveness));
   if (Node.saidLeaving())
     apply(Node.onEndpointEnded(monotonicNow()));
 }
 
-asio::awaitable<ResultCode> AgentTraffic::findEnd(RequestId id) {
-  EndpointFate fate = co_await checkFate(Context, EndpointAddress);
-  const char *word = toString(fate);
+asio::awaitable<ResultCode> AgentTraffic::classifyFailure(RequestId id) {
+  EndpointFate liveness = co_await checkLiveness(Context, EndpointAddress);
+  const char *word = toString(liveness);
   Measures.count("endpoint_checks_total{fate=\"" + std::string(word) + "\"}");
   LOG(INFO) << LogEvent("endpoint.checked")
                    .with("endpoint", Settings.EndpointName)
                    .with("request", toHeader(id))
                    .with("fate", word);
-  co_return fate == EndpointFate::Ended ? ResultCode::EndpointFailed
-                                        : ResultCode::AnswerBroken;
+  co_return liveness == EndpointFate::Ended ? ResultCode::EndpointFailed
+                                            : ResultCode::AnswerBroken;
 }
--- a/lib/Process/CrashLog.cpp
+++ b/lib/Process/CrashLog.cpp
@@ -25,20 +25,20 @@
   return "";
 }
 
-void ospreyspur::logCrashes(const std::vector<CrashNote> &notes,
+void ospreyspur::logCrashes(const std::vector<CrashNote> &records,
                             const CrashTracker &tracker, Metrics &metrics) {
-  for (const CrashNote &note : notes) {
+  for (const CrashNote &record : records) {
     metrics.count("request_crashes_total{standing=\"" +
-                  std::string(wordOf(note.Standing)) + "\"}");
+                  std::string(wordOf(record.Standing)) + "\"}");
     LOG(INFO) << LogEvent("request.crashed")
-                     .with("id", note.Label)
-                     .with("digest", toHex(note.Request))
-                     .with("endpoint", note.Endpoint.get())
-                     .with("ran_ms", toMillis(note.Ran))
-                     .with("crashes", note.Crashes)
-                     .with("chance", note.Chance)
-                     .with("standing", wordOf(note.Standing))
-                     .with("from", note.IsTold ? "peer" : "own");
+                     .with("id", record.Label)
+                     .with("digest", toHex(record.Request))
+                     .with("endpoint", record.Endpoint.get())
+                     .with("ran_ms", toMillis(record.Ran))
+                     .with("crashes", record.Crashes)
+                     .with("chance", record.Chance)
+                     .with("standing", wordOf(record.Standing))
+                     .with("from", record.IsTold ? "peer" : "own");
   }
   metrics.set("requests_known_to_crash", double(tracker.rowCount()));
 }
--- a/lib/Process/DirectAttempt.cpp
+++ b/lib/Process/DirectAttempt.cpp
@@ -27,9 +27,9 @@
 /// packet is retransmitted after a second.
 static constexpr Duration ConnectTimeout = std::chrono::milliseconds(400);
 /// Responses to other requests that are skipped on one connection.
-static constexpr unsigned MaxForeignAnswers = 2;
+static constexpr unsigned MaxForeignResponses = 2;
 static constexpr std::size_t ReadBytes = 16U << 10U;
-static constexpr std::size_t MaxAnswerBytes = 16U << 20U;
+static constexpr std::size_t MaxResponseBytes = 16U << 20U;
 static constexpr std::uint32_t MaxHeadBytes = 64U << 10U;
 
 DirectAttempt::DirectAttempt(EndpointPool &pool, HttpExchange &exchange,
@@ -57,14 +57,14 @@
   // HostTimers are used instead.
   Connection->Stream.expires_never();
   watchDeadline();
-  SilenceTimer.emplace(Connection->Stream.get_executor());
-  watchSilence(Order.Silence);
+  IdleTimer.emplace(Connection->Stream.get_executor());
+  startIdleTimer(Order.Silence);
   if (!co_await send() || !co_await readHead())
-    co_return endOfBroken();
+    co_return abortAttempt();
   bool isSuccess = Head.Status >= 200 && Head.Status < 300;
   if (Head.IsEvents && isSuccess && Head.Verdict == AnswerVerdict::Own)
-    co_return co_await passOnEvents();
-  co_return co_await passOnWhole();
+    co_return co_await forwardEvents();
+  co_return co_await forwardComplete();
 }
 
 /// Requests that must not run twice are sent on a new connection, as the
@@ -85,31 +85,31 @@
   SentAt = monotonicNow();
   auto [ec, n] =
       co_await http::async_write(Connection->Stream, request, AsTuple);
-  noteError(ec);
+  recordError(ec);
   co_return !ec;
 }
 
 /// Reads response heads until one belongs to this request.
 asio::awaitable<bool> DirectAttempt::readHead() {
-  for (unsigned i = 0; i <= MaxForeignAnswers; ++i) {
-    Answer.emplace();
-    Answer->body_limit(MaxAnswerBytes);
-    Answer->header_limit(MaxHeadBytes);
-    Answer->skip(Exchange.request().method() == http::verb::head);
+  for (unsigned i = 0; i <= MaxForeignResponses; ++i) {
+    Response.emplace();
+    Response->body_limit(MaxResponseBytes);
+    Response->header_limit(MaxHeadBytes);
+    Response->skip(Exchange.request().method() == http::verb::head);
     ReadingSince = monotonicNow();
     auto [ec, n] = co_await http::async_read_header(
-        Connection->Stream, Connection->Buffer, *Answer, AsTuple);
+        Connection->Stream, Connection->Buffer, *Response, AsTuple);
     ReadingSince.reset();
-    noteError(ec);
+    recordError(ec);
     if (ec)
       co_return false;
     HttpResponse head;
-    head.base() = Answer->get().base();
+    head.base() = Response->get().base();
     Head = platform::readAnswer(head, Call.Request.Label);
     Call.Asked = Head.Asked;
     if (Head.Verdict != AnswerVerdict::OtherEndpoint)
       Handlers.OnHead(Head.Asked,
-                      isOwnAnswer() ? std::optional(SentAt) : std::nullopt);
+                      isOwnResponse() ? std::optional(SentAt) : std::nullopt);
     if (Head.Verdict != AnswerVerdict::Foreign) {
       CallerHead = platform::makeCallerHead(head);
       co_return true;
@@ -135,40 +135,40 @@
 /// Checks after \p pause how long the endpoint has sent nothing. An idle period
 /// alone ends no attempt, as the endpoint may continue, and only the DirectNode
 /// knows whether the request can migrate to another endpoint.
-void DirectAttempt::watchSilence(Duration pause) {
+void DirectAttempt::startIdleTimer(Duration pause) {
   if (!Call.Request.Route->isRepeatable() || Order.Silence <= Duration::zero())
     return;
-  SilenceTimer->expires_after(pause);
-  SilenceTimer->async_wait(
+  IdleTimer->expires_after(pause);
+  IdleTimer->async_wait(
       [this, alive = std::weak_ptr<bool>(Alive)](boost::system::error_code ec) {
         if (!ec && !alive.expired())
-          onSilenceTimer();
+          onIdleTimer();
       });
 }
 
-void DirectAttempt::onSilenceTimer() {
+void DirectAttempt::onIdleTimer() {
   TimePoint now = monotonicNow();
-  Duration silence = ReadingSince ? now - *ReadingSince : Duration::zero();
-  if (silence < Order.Silence) {
-    watchSilence(Order.Silence - silence);
+  Duration idle = ReadingSince ? now - *ReadingSince : Duration::zero();
+  if (idle < Order.Silence) {
+    startIdleTimer(Order.Silence - idle);
     return;
   }
-  watchSilence(Order.Silence);
-  Handlers.OnSilence();
+  startIdleTimer(Order.Silence);
+  Handlers.OnIdle();
 }
 
 asio::awaitable<boost::system::error_code>
 DirectAttempt::readSome(std::string &data) {
   std::array<char, ReadBytes> bytes;
-  auto &body = Answer->get().body();
+  auto &body = Response->get().body();
   body.data = bytes.data();
   body.size = bytes.size();
   body.more = true;
   ReadingSince = monotonicNow();
   auto [ec, n] = co_await http::async_read_some(
-      Connection->Stream, Connection->Buffer, *Answer, AsTuple);
+      Connection->Stream, Connection->Buffer, *Response, AsTuple);
   ReadingSince.reset();
-  noteError(ec);
+  recordError(ec);
   data.assign(bytes.data(), bytes.size() - body.size);
   if (ec == http::error::need_buffer)
     ec = {};
@@ -176,35 +176,35 @@
 }
 
 asio::awaitable<bool> DirectAttempt::readBody(std::string &body) {
-  while (!Answer->is_done()) {
+  while (!Response->is_done()) {
     std::string data;
     auto ec = co_await readSome(data);
     body += data;
-    if (ec || body.size() > MaxAnswerBytes)
+    if (ec || body.size() > MaxResponseBytes)
       co_return false;
   }
   co_return true;
 }
 
-asio::awaitable<AttemptEnd> DirectAttempt::passOnWhole() {
+asio::awaitable<AttemptEnd> DirectAttempt::forwardComplete() {
   std::string body;
-  bool isWhole = co_await readBody(body);
+  bool isComplete = co_await readBody(body);
   switch (Head.Verdict) {
   case AnswerVerdict::Full:
-    if (isWhole)
+    if (isComplete)
       keepConnection();
     co_return AttemptEnd::Full;
   case AnswerVerdict::OtherEndpoint:
     co_return AttemptEnd::OtherEndpoint;
   case AnswerVerdict::Foreign:
   case AnswerVerdict::Unusable:
-    co_return endOfBroken();
+    co_return abortAttempt();
   case AnswerVerdict::Own:
   case AnswerVerdict::Failed:
     break;
   }
-  if (!isWhole)
-    co_return endOfBroken();
+  if (!isComplete)
+    co_return abortAttempt();
   keepConnection();
   Call.Status = Head.Status;
   CallerHead.body() = std::move(body);
@@ -217,12 +217,12 @@
   co_return AttemptEnd::Complete;
 }
 
-asio::awaitable<AttemptEnd> DirectAttempt::passOnEvents() {
-  while (!Answer->is_done()) {
+asio::awaitable<AttemptEnd> DirectAttempt::forwardEvents() {
+  while (!Response->is_done()) {
     std::string data;
     auto ec = co_await readSome(data);
     std::string events = Call.Events.add(data);
-    if (!events.empty() && !co_await passOn(std::move(events))) {
+    if (!events.empty() && !co_await forward(std::move(events))) {
       // The caller reads no more data, which is not the endpoint's fault.
       if (!Call.IsCallerGone)
         Call.Inbox.post(CallerGone{Call.Request.Id});
@@ -230,10 +230,10 @@
       co_return AttemptEnd::BrokeOff;
     }
     if (ec)
-      co_return endOfBroken();
+      co_return abortAttempt();
   }
   if (Call.Events.hasRest())
-    co_return endOfBroken();
+    co_return abortAttempt();
   keepConnection();
   if (!Exchange.hasBegun())
     co_await Exchange.beginStream(CallerHead);
@@ -242,7 +242,7 @@
   co_return AttemptEnd::Complete;
 }
 
-asio::awaitable<bool> DirectAttempt::passOn(std::string events) {
+asio::awaitable<bool> DirectAttempt::forward(std::string events) {
   Handlers.OnData();
   if (!Exchange.hasBegun() && !co_await Exchange.beginStream(CallerHead))
     co_return false;
@@ -252,21 +252,21 @@
 
 /// Records if \p ec shows that the endpoint closed or reset the connection. A
 /// connection closed by this process gives other errors.
-void DirectAttempt::noteError(const boost::system::error_code &ec) {
+void DirectAttempt::recordError(const boost::system::error_code &ec) {
   if (ec == asio::error::eof || ec == asio::error::connection_reset ||
       ec == asio::error::broken_pipe || ec == http::error::end_of_stream ||
       ec == http::error::partial_message)
-    Ended = ConnectionEnd::Endpoint;
+    ClosedBy = ConnectionEnd::Endpoint;
 }
 
 /// The result of an attempt whose connection failed. Drops a partial event, as
 /// the next attempt sends it from its start.
-AttemptEnd DirectAttempt::endOfBroken() const {
+AttemptEnd DirectAttempt::abortAttempt() const {
   Call.Events.dropRest();
   return Exchange.hasBegun() ? AttemptEnd::BrokeOff : AttemptEnd::Lost;
 }
 
-bool DirectAttempt::isOwnAnswer() const {
+bool DirectAttempt::isOwnResponse() const {
   return Head.Verdict == AnswerVerdict::Own ||
          Head.Verdict == AnswerVerdict::Failed ||
          Head.Verdict == AnswerVerdict::Full;
@@ -281,7 +281,7 @@
 }
 
 void DirectAttempt::keepConnection() {
-  bool isClean = Answer->is_done() && Answer->keep_alive() &&
+  bool isClean = Response->is_done() && Response->keep_alive() &&
                  Connection->Buffer.size() == 0;
   if (!isClean)
     return;
--- a/lib/Process/DirectFates.cpp
+++ b/lib/Process/DirectLiveness.cpp
@@ -1,4 +1,4 @@
-//===- DirectFates.cpp - endpoint crashes during requests -----------------===//
+//===- DirectLiveness.cpp - endpoint crashes during requests --------------===//
 //
 // The part of DirectTraffic that checks whether an endpoint has exited, handles
 // other entries' reports of crashes, and logs the resulting verdicts.
@@ -8,7 +8,7 @@
 #include "ospreyspur/Process/DirectTraffic.h"
 
 #include "ospreyspur/Process/CrashLog.h"
-#include "ospreyspur/Process/FateCheck.h"
+#include "ospreyspur/Process/LivenessCheck.h"
 #include "ospreyspur/Process/RankLink.h"
 #include "ospreyspur/Support/LogEvent.h"
 
@@ -26,9 +26,9 @@
 void DirectTraffic::logCrashes() {
   ospreyspur::logCrashes(Node.takeCrashNotes(), Node.crashes(), Measures);
   std::uint64_t change = Node.crashes().quarantineChanges();
-  if (std::exchange(ToldChange, change) == change || !TellQuarantine)
+  if (std::exchange(LastReportedChange, change) == change || !ReportQuarantine)
     return;
-  TellQuarantine(Node.crashes().quarantined(), Node.crashes().cleared());
+  ReportQuarantine(Node.crashes().quarantined(), Node.crashes().cleared());
 }
 
 /// Applies a load report. Each entry sends several a second, so this entry
@@ -60,30 +60,33 @@
 }
 
 asio::awaitable<void> DirectTraffic::checkEndpoint(EndpointRecord endpoint) {
-  EndpointFate fate = co_await findFate(endpoint);
-  const char *word = toString(fate);
+  EndpointFate liveness = co_await findLiveness(endpoint);
+  const char *word = toString(liveness);
   Measures.count("endpoint_checks_total{fate=\"" + std::string(word) + "\"}");
   LOG(INFO) << LogEvent("endpoint.checked")
                    .with("endpoint", endpoint.Id.get())
                    .with("fate", word);
-  apply(Node.onChecked(endpoint.Id, fate, monotonicNow()));
+  apply(Node.onChecked(endpoint.Id, liveness, monotonicNow()));
 }
 
-asio::awaitable<EndpointFate> DirectTraffic::findFate(EndpointRecord endpoint) {
+asio::awaitable<EndpointFate>
+DirectTraffic::findLiveness(EndpointRecord endpoint) {
   // If the endpoint reports no incarnation, has a rate limit, is in backoff or
   // is leaving, a connection is opened without a status query, which would
   // count as a request.
-  bool tellsLife = endpoint.TellsState && endpoint.Life != EndpointLife(0) &&
-                   Node.takesQuestions(endpoint.Id, monotonicNow());
-  if (!tellsLife)
-    co_return co_await checkFate(Context, endpoint.Address);
-  auto isSameLife = [this,
-                     &endpoint]() -> asio::awaitable<std::optional<bool>> {
+  bool reportsIncarnation = endpoint.TellsState &&
+                            endpoint.Life != EndpointLife(0) &&
+                            Node.takesQuestions(endpoint.Id, monotonicNow());
+  if (!reportsIncarnation)
+    co_return co_await checkLiveness(Context, endpoint.Address);
+  auto isSameIncarnation =
+      [this, &endpoint]() -> asio::awaitable<std::optional<bool>> {
     RankLink link(Context, endpoint.Address);
     Result<RankStatus> status = co_await link.readReport();
     if (!status)
       co_return std::nullopt;
     co_return status.value().Life.get() == endpoint.Life.get();
   };
-  co_return co_await checkFate(Context, endpoint.Address, isSameLife);
+  co_return co_await checkLiveness(Context, endpoint.Address,
+                                   isSameIncarnation);
 }
--- a/lib/Process/DirectPushback.cpp
+++ b/lib/Process/DirectPushback.cpp
@@ -16,10 +16,10 @@
 
 using namespace ospreyspur;
 
-void DirectTraffic::takePushback(const EndpointId &id, const Pushback &asked,
+void DirectTraffic::takePushback(const EndpointId &id, const Pushback &pushback,
                                  std::optional<TimePoint> sentAt) {
-  logUnreadable(id, asked, Measures);
-  DirectActions actions = Node.onPushback(id, asked, sentAt, monotonicNow());
+  logMalformedPushback(id, pushback, Measures);
+  DirectActions actions = Node.onPushback(id, pushback, sentAt, monotonicNow());
   if (!actions.empty())
     apply(std::move(actions));
   else
@@ -31,12 +31,13 @@
     const EndpointState *state = Node.book().findLife(life);
     return state ? state->Record.Id : EndpointId();
   };
-  logRates(Node.takeRateNotes(), nameOf, Node.rates().limitedCount(), Measures);
+  logRateLimits(Node.takeRateNotes(), nameOf, Node.rates().limitedCount(),
+                Measures);
   if (Node.closed().isEmpty())
     return;
   logLeaving(Node.takeLeavingNotes(), nameOf, Measures);
-  logRests(Node.takeRestNotes(), nameOf,
-           Node.closed().restingCount(monotonicNow()), Measures);
+  logBackoffs(Node.takeRestNotes(), nameOf,
+              Node.closed().restingCount(monotonicNow()), Measures);
 }
 
 void DirectTraffic::logSharing() {
--- a/lib/Process/DirectRole.cpp
+++ b/lib/Process/DirectRole.cpp
@@ -40,7 +40,7 @@
   DirectTraffic Traffic;
   DirectControl Control;
   HttpServer Ready;
-  MetricsServer Figures;
+  MetricsServer Exporter;
   PlannedStop Stop;
   SettingsWatch Watch;
   bool IsStopping = false;
@@ -64,7 +64,7 @@
               }),
       Ready(Threads.control(), HttpLimits(),
             [this](HttpExchange &it) { return answerReady(it); }),
-      Figures(Threads.control(), Measures),
+      Exporter(Threads.control(), Measures),
       Stop(Threads.control(), {settings.StopNotice, settings.StopLimit},
            makeStopHandlers()),
       Watch(Threads.control(), settings.File,
@@ -97,7 +97,7 @@
   };
   // The platform's load balancer does not confirm that it has seen the stop, so
   // IsConfirmed stays false and the whole notice period is waited out.
-  handlers.AskProgress = [this](std::function<void(StopProgress)> done) {
+  handlers.QueryProgress = [this](std::function<void(StopProgress)> done) {
     Threads.postToTraffic([this, done = std::move(done)] {
       StopProgress progress{Traffic.busyCount(), false};
       Threads.postToControl([done, progress] { done(progress); });
@@ -119,7 +119,7 @@
     if (!started)
       return started;
   if (!Settings.MetricsListen.empty()) {
-    Result<void> listening = Figures.listen(Settings.MetricsListen);
+    Result<void> listening = Exporter.listen(Settings.MetricsListen);
     if (!listening)
       return listening;
   }
--- a/lib/Process/DirectTraffic.cpp
+++ b/lib/Process/DirectTraffic.cpp
@@ -21,18 +21,18 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-static constexpr Duration PoolLook = std::chrono::milliseconds(500);
+static constexpr Duration PoolSweepInterval = std::chrono::milliseconds(500);
 /// Retry-After sent by an entry that is stopping: short, as another entry takes
 /// the next attempt.
-static constexpr Duration ElsewhereRetryAfter = std::chrono::milliseconds(20);
+static constexpr Duration StoppingRetryAfter = std::chrono::milliseconds(20);
 /// How long callers of a starting entry wait until the entry has read the
 /// configuration and the endpoints, which takes some 30 ms if the store
 /// responds.
-static constexpr Duration StartWait = std::chrono::milliseconds(400);
+static constexpr Duration MaxStartWait = std::chrono::milliseconds(400);
 /// Retry-After sent by an entry that could not read them. The store is then
 /// unavailable, and callers have few attempts; they wait for up to a third of
 /// their deadline.
-static constexpr Duration UnknownRetryAfter = std::chrono::seconds(2);
+static constexpr Duration UnconfiguredRetryAfter = std::chrono::seconds(2);
 
 /// The name of \p end in logs and metrics.
 static const char *wordOf(AttemptEnd end) {
@@ -91,7 +91,7 @@
                              const DirectSettings &settings, Metrics &metrics,
                              std::uint64_t seed, OnQuarantine onQuarantine)
     : Context(ioc), Settings(settings), Measures(metrics),
-      TellQuarantine(std::move(onQuarantine)),
+      ReportQuarantine(std::move(onQuarantine)),
       Node(DataCentreId(settings.DataCentre), makeLimits(settings), seed,
            settings.Name),
       Timer(ioc, [this] { apply(Node.onTimer(monotonicNow())); }), Pool(ioc),
@@ -120,7 +120,7 @@
   Result<TcpAddress> address = parseAddress(Settings.Listen);
   if (!address)
     return address.error();
-  StartTimer.expires_after(StartWait);
+  StartTimer.expires_after(MaxStartWait);
   StartTimer.async_wait([this](boost::system::error_code ec) {
     if (!ec)
       beginAccepting();
@@ -200,8 +200,8 @@
 static Duration retryAfter(ResultCode code) {
   if (describe(code).Kind != Outcome::NotRun)
     return Duration::zero();
-  return code == ResultCode::ConfigUnknown ? UnknownRetryAfter
-                                           : ElsewhereRetryAfter;
+  return code == ResultCode::ConfigUnknown ? UnconfiguredRetryAfter
+                                           : StoppingRetryAfter;
 }
 
 asio::awaitable<void> DirectTraffic::handle(HttpExchange &exchange) {
@@ -290,15 +290,15 @@
     if (!actions.empty())
       apply(std::move(actions));
   };
-  auto onSilence = [this, id] { apply(Node.onSilent(id, monotonicNow())); };
+  auto onIdle = [this, id] { apply(Node.onSilent(id, monotonicNow())); };
   auto maySend = [this, id] { return Node.maySend(id, monotonicNow()); };
-  auto onHead = [this, &order](const Pushback &asked,
+  auto onHead = [this, &order](const Pushback &pushback,
                                std::optional<TimePoint> sentAt) {
-    takePushback(order.Endpoint.Id, asked, sentAt);
+    takePushback(order.Endpoint.Id, pushback, sentAt);
   };
   TimePoint began = monotonicNow();
   DirectAttempt running(Pool, exchange, call, order,
-                        {maySend, onHead, onData, onSilence});
+                        {maySend, onHead, onData, onIdle});
   AttemptEnd end = co_await running.run();
   Measures.count("attempts_total{end=\"" + std::string(wordOf(end)) + "\"}");
   Measures.set("requests_waiting", double(Node.waitingCount()));
@@ -344,25 +344,25 @@
 /// Logs one line for each request that begins to wait, with the number of
 /// endpoints of its service for each obstacle.
 void DirectTraffic::logWaits() {
-  for (const WaitNote &note : Node.takeWaitNotes()) {
-    auto it = Calls.find(note.Call);
+  for (const WaitNote &record : Node.takeWaitNotes()) {
+    auto it = Calls.find(record.Call);
     if (it == Calls.end())
       continue;
     LogEvent line("request.waits");
     line.with("id", it->second->Request.Label)
-        .with("sent", note.Arrivals)
-        .with("attempts_left", note.AttemptsLeft)
-        .with("silent", note.IsSilent)
-        .with("may_repeat", note.HasRepeat)
-        .with("entries", note.Entries);
+        .with("sent", record.Arrivals)
+        .with("attempts_left", record.AttemptsLeft)
+        .with("silent", record.IsSilent)
+        .with("may_repeat", record.HasRepeat)
+        .with("entries", record.Entries);
     for (std::size_t i = 0; i < ObstacleWords.size(); ++i)
-      line.with(ObstacleWords[i], note.Endpoints[i]);
+      line.with(ObstacleWords[i], record.Endpoints[i]);
     LOG(INFO) << line;
   }
 }
 
 void DirectTraffic::perform(AskEndpoint &action) {
-  asio::co_spawn(Context, askEndpoint(action.Endpoint), asio::detached);
+  asio::co_spawn(Context, queryStatus(action.Endpoint), asio::detached);
 }
 
 /// Closes the attempt's connection. The attempt then ends as BrokeOff or Lost,
@@ -381,7 +381,7 @@
   it->second->Connection->Stream.close();
 }
 
-asio::awaitable<void> DirectTraffic::askEndpoint(EndpointRecord endpoint) {
+asio::awaitable<void> DirectTraffic::queryStatus(EndpointRecord endpoint) {
   RankLink link(Context, endpoint.Address);
   Result<RankStatus> status = co_await link.readReport();
   std::optional<EndpointCondition> condition;
@@ -446,7 +446,7 @@
 
 void DirectTraffic::closeUnused() {
   Pool.closeUnused(monotonicNow());
-  PoolTimer.expires_after(PoolLook);
+  PoolTimer.expires_after(PoolSweepInterval);
   PoolTimer.async_wait([this](boost::system::error_code ec) {
     if (!ec)
       closeUnused();
--- a/lib/Process/EntryRole.cpp
+++ b/lib/Process/EntryRole.cpp
@@ -80,7 +80,7 @@
   };
   // The platform's load balancer does not confirm that it has seen the stop, so
   // IsConfirmed stays false and the whole notice period is waited out.
-  handlers.AskProgress = [this](std::function<void(StopProgress)> done) {
+  handlers.QueryProgress = [this](std::function<void(StopProgress)> done) {
     Threads.postToTraffic([this, done = std::move(done)] {
       StopProgress progress{Traffic.busyCount(), false};
       Threads.postToControl([done, progress] { done(progress); });
--- a/lib/Process/EntryTraffic.cpp
+++ b/lib/Process/EntryTraffic.cpp
@@ -142,11 +142,11 @@
 /// Logs the crashes that are attributed to requests, and writes changes of the
 /// node's quarantine to the store.
 void EntryTraffic::reportCrashes() {
-  std::vector<CrashNote> notes = Node.takeCrashNotes();
-  if (!notes.empty())
-    logCrashes(notes, Node.crashes(), Measures);
+  std::vector<CrashNote> records = Node.takeCrashNotes();
+  if (!records.empty())
+    logCrashes(records, Node.crashes(), Measures);
   std::uint64_t change = Node.crashes().quarantineChanges();
-  if (std::exchange(ToldChange, change) != change)
+  if (std::exchange(LastReportedChange, change) != change)
     Quarantine.setOwn(Node.crashes().quarantined(), Node.crashes().cleared());
 }
 
--- a/lib/Process/FateCheck.cpp
+++ b/lib/Process/LivenessCheck.cpp
@@ -1,4 +1,4 @@
-//===- FateCheck.cpp - checks whether an endpoint has exited --------------===//
+//===- LivenessCheck.cpp - checks if an endpoint has exited ---------------===//
 //
 // Connections to a process that has exited are refused until the process is
 // restarted, which takes seconds; the engine then reports a new incarnation.
@@ -7,7 +7,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "ospreyspur/Process/FateCheck.h"
+#include "ospreyspur/Process/LivenessCheck.h"
 
 #include "ospreyspur/Process/HostTimer.h"
 
@@ -26,34 +26,34 @@
 static constexpr Duration CheckTimeout = std::chrono::milliseconds(300);
 
 /// Checks of an endpoint that accepts connections and drops them, and the time
-/// between two checks. A connection that stays open for FatePause belongs to a
-/// running process: an exiting process closes all its sockets within a
+/// between two checks. A connection that stays open for CheckInterval belongs
+/// to a running process: an exiting process closes all its sockets within a
 /// millisecond.
-static constexpr unsigned FateLooks = 3;
-static constexpr Duration FatePause = std::chrono::milliseconds(25);
+static constexpr unsigned MaxLivenessChecks = 3;
+static constexpr Duration CheckInterval = std::chrono::milliseconds(25);
 
 static constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
 
-static asio::awaitable<void> rest(asio::io_context &ioc, Duration span) {
+static asio::awaitable<void> sleepFor(asio::io_context &ioc, Duration span) {
   HostTimer timer(ioc, span);
   co_await timer.async_wait(AsTuple);
 }
 
-/// Whether the other side keeps the connection for FatePause.
+/// Whether the other side keeps the connection for CheckInterval.
 static asio::awaitable<bool> staysOpen(boost::beast::tcp_stream &stream) {
   char byte = 0;
-  stream.expires_after(FatePause);
+  stream.expires_after(CheckInterval);
   auto [ec, n] =
       co_await stream.async_read_some(asio::buffer(&byte, 1), AsTuple);
   co_return ec == boost::beast::error::timeout;
 }
 
-asio::awaitable<EndpointFate> ospreyspur::checkFate(asio::io_context &ioc,
-                                                    TcpAddress address,
-                                                    LifeCheck isSameLife) {
-  for (unsigned i = 0; i < FateLooks; ++i) {
+asio::awaitable<EndpointFate>
+ospreyspur::checkLiveness(asio::io_context &ioc, TcpAddress address,
+                          IncarnationCheck isSameIncarnation) {
+  for (unsigned i = 0; i < MaxLivenessChecks; ++i) {
     if (i > 0)
-      co_await rest(ioc, FatePause);
+      co_await sleepFor(ioc, CheckInterval);
     boost::beast::tcp_stream stream(ioc);
     stream.expires_after(CheckTimeout);
     auto [ec] = co_await stream.async_connect(address, AsTuple);
@@ -63,12 +63,12 @@
       co_return EndpointFate::Unknown;
     if (ec)
       continue;
-    if (!isSameLife) {
+    if (!isSameIncarnation) {
       if (co_await staysOpen(stream))
         co_return EndpointFate::Alive;
       continue;
     }
-    std::optional<bool> isSame = co_await isSameLife();
+    std::optional<bool> isSame = co_await isSameIncarnation();
     if (isSame)
       co_return *isSame ? EndpointFate::Alive : EndpointFate::Ended;
   }
@@ -86,10 +86,10 @@
     stream.expires_after(std::max<Duration>(limit, Duration::zero()));
     co_await stream.async_read_some(asio::buffer(&byte, 1), AsTuple);
   }
-  co_await rest(ioc, FatePause);
+  co_await sleepFor(ioc, CheckInterval);
 }
 
-const char *ospreyspur::toString(EndpointFate fate) {
+const char *ospreyspur::toString(EndpointFate liveness) {
   static constexpr std::array Words = {"alive", "ended", "unknown"};
-  return Words.at(static_cast<std::size_t>(fate));
+  return Words.at(static_cast<std::size_t>(liveness));
 }
--- a/lib/Process/LoadExchange.cpp
+++ b/lib/Process/LoadExchange.cpp
@@ -86,7 +86,7 @@
 
 void LoadExchange::onChange() {
   if (!std::exchange(IsDue, true))
-    sendAfter(Gather);
+    sendAfter(CollectTime);
 }
 
 void LoadExchange::sendAfter(Duration wait) {
--- a/lib/Process/LogWriter.cpp
+++ b/lib/Process/LogWriter.cpp
@@ -57,7 +57,7 @@
 }
 
 void LogWriter::run() {
-  std::uint64_t told = 0;
+  std::uint64_t reported = 0;
   std::unique_lock lock(Mutex);
   for (;;) {
     Changed.wait(lock, [this] { return IsEnding || !Lines.empty(); });
@@ -65,9 +65,9 @@
       return;
     std::string line = std::move(Lines.front());
     Lines.pop_front();
-    if (Dropped > told)
+    if (Dropped > reported)
       line += "event=log.dropped lines=" + std::to_string(Dropped) + '\n';
-    told = Dropped;
+    reported = Dropped;
     lock.unlock();
     bool isWritten = writeLine(line);
     lock.lock();
--- a/lib/Process/PlannedStop.cpp
+++ b/lib/Process/PlannedStop.cpp
@@ -37,7 +37,7 @@
 }
 
 void PlannedStop::poll() {
-  Calls.AskProgress([this](StopProgress progress) { onProgress(progress); });
+  Calls.QueryProgress([this](StopProgress progress) { onProgress(progress); });
 }
 
 void PlannedStop::onProgress(StopProgress progress) {
--- a/lib/Process/PushbackLog.cpp
+++ b/lib/Process/PushbackLog.cpp
@@ -17,59 +17,62 @@
 /// One in this many unreadable values is logged.
 static constexpr int LogOneIn = 100;
 
-void ospreyspur::logUnreadable(const EndpointId &endpoint,
-                               const Pushback &asked, Metrics &metrics) {
-  if (asked.Malformed.empty())
+void ospreyspur::logMalformedPushback(const EndpointId &endpoint,
+                                      const Pushback &pushback,
+                                      Metrics &metrics) {
+  if (pushback.Malformed.empty())
     return;
   metrics.count("pushback_unreadable_total");
   LOG_EVERY_N(WARNING, LogOneIn) << LogEvent("pushback.unreadable")
                                         .with("endpoint", endpoint.get())
-                                        .with("value", asked.Malformed);
+                                        .with("value", pushback.Malformed);
 }
 
-static const char *wordOf(const RateLimitNote &note) {
-  if (!note.After)
+static const char *wordOf(const RateLimitNote &record) {
+  if (!record.After)
     return "lifted";
-  if (!note.Before)
+  if (!record.Before)
     return "set";
-  return *note.After < *note.Before ? "lowered" : "raised";
+  return *record.After < *record.Before ? "lowered" : "raised";
 }
 
-void ospreyspur::logRates(const std::vector<RateLimitNote> &notes,
-                          const std::function<EndpointId(LifeDigest)> &nameOf,
-                          std::size_t limited, Metrics &metrics) {
-  for (const RateLimitNote &note : notes) {
+void ospreyspur::logRateLimits(
+    const std::vector<RateLimitNote> &records,
+    const std::function<EndpointId(LifeDigest)> &nameOf,
+    std::size_t limitedCount, Metrics &metrics) {
+  for (const RateLimitNote &record : records) {
     metrics.count("rate_limit_changes_total{change=\"" +
-                  std::string(wordOf(note)) + "\"}");
+                  std::string(wordOf(record)) + "\"}");
     LOG(INFO) << LogEvent("endpoint.rate")
-                     .with("endpoint", nameOf(note.Life).get())
-                     .with("change", wordOf(note))
-                     .with("per_s", note.After.value_or(-1))
-                     .with("before_per_s", note.Before.value_or(-1))
-                     .with("from", note.IsTold ? "entry" : "answer")
-                     .with("age_ms", toMillis(note.Age))
-                     .with("rank", note.Rank)
-                     .with("senders", note.Holders);
+                     .with("endpoint", nameOf(record.Life).get())
+                     .with("change", wordOf(record))
+                     .with("per_s", record.After.value_or(-1))
+                     .with("before_per_s", record.Before.value_or(-1))
+                     .with("from", record.IsTold ? "entry" : "answer")
+                     .with("age_ms", toMillis(record.Age))
+                     .with("rank", record.Rank)
+                     .with("senders", record.Holders);
   }
-  if (!notes.empty())
-    metrics.set("endpoints_rate_limited", double(limited));
+  if (!records.empty())
+    metrics.set("endpoints_rate_limited", double(limitedCount));
 }
 
-void ospreyspur::logRests(const std::vector<RestNote> &notes,
-                          const std::function<EndpointId(LifeDigest)> &nameOf,
-                          std::size_t resting, Metrics &metrics) {
-  for (const RestNote &note : notes)
+void ospreyspur::logBackoffs(
+    const std::vector<RestNote> &records,
+    const std::function<EndpointId(LifeDigest)> &nameOf,
+    std::size_t backoffCount, Metrics &metrics) {
+  for (const RestNote &record : records)
     LOG(INFO) << LogEvent("endpoint.rests")
-                     .with("endpoint", nameOf(note.Life).get())
-                     .with("rest_ms", toMillis(note.Rest));
-  metrics.count("endpoint_rests_total", notes.size());
-  metrics.set("endpoints_resting", double(resting));
+                     .with("endpoint", nameOf(record.Life).get())
+                     .with("rest_ms", toMillis(record.Rest));
+  metrics.count("endpoint_rests_total", records.size());
+  metrics.set("endpoints_resting", double(backoffCount));
 }
 
-void ospreyspur::logLeaving(const std::vector<LifeDigest> &lives,
+void ospreyspur::logLeaving(const std::vector<LifeDigest> &incarnations,
                             const std::function<EndpointId(LifeDigest)> &nameOf,
                             Metrics &metrics) {
-  for (LifeDigest it : lives)
+  for (LifeDigest it : incarnations)
     LOG(INFO) << LogEvent("endpoint.leaves").with("endpoint", nameOf(it).get());
-  metrics.count("endpoint_leaves_total", lives.size());
+  metrics.count("endpoint_leaves_total", incarnations.size());
 }
--- a/lib/Process/RankAgent.cpp
+++ b/lib/Process/RankAgent.cpp
@@ -18,7 +18,7 @@
 
 /// Time between two status queries to the rank; about one step. Queries on the
 /// same host cost nothing.
-static constexpr Duration ReadEvery = std::chrono::milliseconds(60);
+static constexpr Duration ReadInterval = std::chrono::milliseconds(60);
 /// Share of the coordinator's link that a group's demand samples may use. The
 /// link also carries the group's orders, which must not be delayed.
 static constexpr double SampleShare = 0.2;
@@ -74,7 +74,7 @@
       Sampler(makeSampleLimits(settings)), Switch(SwitchLimits()),
       Demand(DemandLimits()), Lane(linkBytes(settings, MapShare)),
       Timer(ioc, [this] { tick(); }),
-      LeaseTimer(ioc, [this] { lookAtLease(); }),
+      LeaseTimer(ioc, [this] { updateLease(); }),
       OrderTimer(ioc, [this] { onOrderTimer(); }),
       Server({[this](LinkId from, const std::vector<Message> &messages) {
                 asio::post(Context, [this, from, messages] {
@@ -84,7 +84,7 @@
               },
               [](LinkId) {}}),
       Peers(ioc, {[this](const EndpointId &from, const Message &message) {
-                    onOrderMessage(from, message);
+                    onCoordinatorMessage(from, message);
                   },
                   [this](const EndpointId &) { Filter.reset(); }}) {}
 
@@ -102,11 +102,12 @@
 }
 
 /// Handles messages from the coordinator.
-void RankAgent::onOrderMessage(const EndpointId &from, const Message &message) {
+void RankAgent::onCoordinatorMessage(const EndpointId &from,
+                                     const Message &message) {
   if (const auto *order = std::get_if<MapOrder>(&message)) {
     MapOrder whole = *order;
-    if (Told.complete(whole))
-      spawn(giveFor(from, std::move(whole)));
+    if (LastMap.complete(whole))
+      spawn(forwardOrder(from, std::move(whole)));
     else
       LOG(INFO) << LogEvent("order.incomplete")
                        .with("from", from.get())
@@ -138,7 +139,7 @@
 
 void RankAgent::tick() {
   TimePoint now = monotonicNow();
-  Timer.set(now + ReadEvery);
+  Timer.set(now + ReadInterval);
   Consent.onAlive(now);
   checkLease(now);
   if (!IsReading)
@@ -161,11 +162,11 @@
 void RankAgent::checkLease(TimePoint now) {
   if (Member && Member->Lease.isConfirmed(now))
     Consent.onConfirmed();
-  bool isLeading = mayLead(now);
+  bool isLeading = canCoordinate(now);
   if (Switch.isLeading() && !isLeading)
-    lookAtLease();
-  if (isLeading && mayReach(now))
-    reachSilentRanks(now);
+    updateLease();
+  if (isLeading && canBypassAgents(now))
+    bypassSilentAgents(now);
   bool isFenced = isLeading && !Switch.isLeading();
   if (!isLeading || (Switch.isComplete(now) && !isFenced)) {
     CompleteAt = now;
@@ -175,14 +176,14 @@
     return;
   CompleteAt = now;
   Member->Lease.doubt(now);
-  lookAtLease();
+  updateLease();
 }
 
 /// Whether this agent is its group's coordinator. While the store is
 /// unavailable, a held lease is sufficient only if the ranks check fencing
 /// tokens, as a later holder's orders then fence those of this one. Otherwise
 /// all members must still follow this agent.
-bool RankAgent::mayLead(TimePoint now) const {
+bool RankAgent::canCoordinate(TimePoint now) const {
   if (!Member || !Member->Lease.isHeld(now))
     return false;
   return Settings.ChecksFences || Member->Lease.isConfirmed(now) ||
@@ -190,8 +191,8 @@
 }
 
 /// Whether this agent may begin to change the map.
-bool RankAgent::mayBegin(TimePoint now) const {
-  if (!mayLead(now))
+bool RankAgent::canBeginChange(TimePoint now) const {
+  if (!canCoordinate(now))
     return false;
   return Settings.ChecksFences || Member->Lease.isConfirmed(now) ||
          (Own && Consent.isFollowed(Own->Size, MemberConsent::Fresh, now));
@@ -200,11 +201,11 @@
 /// Whether this coordinator may bypass the agents of ranks on other hosts. An
 /// agent refuses the orders of an earlier coordinator, but a rank that does not
 /// check fencing tokens does not.
-bool RankAgent::mayReach(TimePoint now) const {
+bool RankAgent::canBypassAgents(TimePoint now) const {
   if (Settings.ChecksFences)
     return true;
   return Member && Member->Lease.isConfirmed(now) &&
-         now - LedSince >= MemberConsent::SuccessorWait;
+         now - CoordinatorSince >= MemberConsent::SuccessorWait;
 }
 
 asio::awaitable<void> RankAgent::readRank() {
@@ -218,14 +219,15 @@
     Own.reset();
     co_return;
   }
-  bool isNews = !Own || Own->Formation != status.value().Formation ||
-                Own->IsOpen != status.value().IsOpen;
-  LOG_IF(INFO, isNews) << LogEvent(Own ? "rank.changed" : "rank.found")
-                              .with("group", status.value().Group.get())
-                              .with("rank", status.value().Rank)
-                              .with("formation", status.value().Formation.get())
-                              .with("open", status.value().IsOpen)
-                              .with("map", status.value().Map.get());
+  bool isChanged = !Own || Own->Formation != status.value().Formation ||
+                   Own->IsOpen != status.value().IsOpen;
+  LOG_IF(INFO, isChanged) << LogEvent(Own ? "rank.changed" : "rank.found")
+                                 .with("group", status.value().Group.get())
+                                 .with("rank", status.value().Rank)
+                                 .with("formation",
+                                       status.value().Formation.get())
+                                 .with("open", status.value().IsOpen)
+                                 .with("map", status.value().Map.get());
   Own = status.value();
   if (!Own->Counts.empty())
     Own->Picks = Sampler.take(*Own, now);
@@ -240,7 +242,7 @@
   if (!isMember)
     join(status);
   TimePoint now = monotonicNow();
-  if (mayLead(now)) {
+  if (canCoordinate(now)) {
     takeStatus(status, std::nullopt);
     return;
   }
@@ -292,7 +294,7 @@
                       .with("held", status.Held ? status.Held->get() : 0)
                       .with("coordinator", Member->Lease.holder());
   Member->Lease.takeOver(now);
-  lookAtLease();
+  updateLease();
 }
 
 void RankAgent::join(const RankStatus &status) {
@@ -304,14 +306,14 @@
   Consent.clear();
   // The new group numbers its ranks independently of the previous one.
   Reach = ReachPlanner();
-  FarRanks.clear();
+  DirectRanks.clear();
   // All agents of a group start together; a random delay lets one of them be
   // first.
   std::uniform_int_distribution<Duration::rep> spread(0, JoinSpread.count());
   LeaseTimer.set(monotonicNow() + Duration(spread(Random)));
 }
 
-void RankAgent::lookAtLease() {
+void RankAgent::updateLease() {
   if (!Member || IsStopped)
     return;
   TimePoint now = monotonicNow();
@@ -322,17 +324,17 @@
       if (!Member || Member->Group != group)
         return;
       Member->Lease.onReply(number, reply, monotonicNow());
-      lookAtLease();
+      updateLease();
     };
     Platform.call(std::move(*call), CallTimeout, onReply);
   }
   bool wasLeading = Switch.isLeading();
-  if (mayLead(now))
+  if (canCoordinate(now))
     Switch.lead(lease.epoch().get(), Member->Rank, now);
   else
     Switch.resign();
   if (!wasLeading && Switch.isLeading()) {
-    LedSince = now;
+    CoordinatorSince = now;
     Reach.lead(now);
   }
   if (wasLeading != Switch.isLeading())
@@ -351,8 +353,8 @@
   EndpointId coordinator(address);
   Peers.setAddresses({{coordinator, address}});
   TimePoint now = monotonicNow();
-  if (std::optional<RankStatus> news = Filter.filter(status, address, now))
-    Peers.send(coordinator, *news, now);
+  if (std::optional<RankStatus> changes = Filter.filter(status, address, now))
+    Peers.send(coordinator, *changes, now);
 }
 
 /// Handles the status of a rank in the coordinator. \p from is empty for the
@@ -379,7 +381,7 @@
 void RankAgent::onReply(LinkId from, const MapOrderReply &reply) {
   TimePoint now = monotonicNow();
   Consent.onAlive(now);
-  if (!mayLead(now))
+  if (!canCoordinate(now))
     return;
   for (const auto &[rank, link] : Links)
     if (link == from) {
@@ -411,24 +413,27 @@
     Server.send(link->second, order);
   }
   std::optional<TimePoint> due = Switch.nextTimer();
-  std::optional<TimePoint> room = Lane.nextTimer();
-  OrderTimer.set(due && room ? std::min(*due, *room) : (due ? due : room));
+  std::optional<TimePoint> capacityAt = Lane.nextTimer();
+  OrderTimer.set(due && capacityAt ? std::min(*due, *capacityAt)
+                                   : (due ? due : capacityAt));
 }
 
 void RankAgent::perform(const SendMapOrder &action) {
   auto link = Links.find(action.Rank);
-  bool canReach = mayReach(monotonicNow());
-  auto far = canReach ? FarRanks.find(action.Rank) : FarRanks.end();
+  bool canBypass = canBypassAgents(monotonicNow());
+  auto directRank =
+      canBypass ? DirectRanks.find(action.Rank) : DirectRanks.end();
   if (Own && Own->Rank == action.Rank)
-    spawn(giveOwn(action.Rank, action.Order));
+    spawn(sendToOwnRank(action.Rank, action.Order));
   else if (std::shared_ptr<RankLink> direct =
-               canReach ? holdLink(action) : nullptr)
-    spawn(giveFar(std::move(direct), action.Rank, action.Order));
-  else if (far != FarRanks.end() && !Reach.isHeard(action.Rank, monotonicNow()))
-    spawn(giveFar(far->second, action.Rank, action.Order));
+               canBypass ? chooseHoldLink(action) : nullptr)
+    spawn(sendDirectly(std::move(direct), action.Rank, action.Order));
+  else if (directRank != DirectRanks.end() &&
+           !Reach.isHeard(action.Rank, monotonicNow()))
+    spawn(sendDirectly(directRank->second, action.Rank, action.Order));
   else if (std::shared_ptr<RankLink> other =
-               canReach ? repeatLink(action) : nullptr)
-    spawn(giveFar(std::move(other), action.Rank, action.Order));
+               canBypass ? chooseRetryLink(action) : nullptr)
+    spawn(sendDirectly(std::move(other), action.Rank, action.Order));
   else if (link != Links.end())
     sendOrQueue(action, link->second);
 }
@@ -445,17 +450,17 @@
   Server.send(link, action.Order);
 }
 
-asio::awaitable<void> RankAgent::giveOwn(unsigned rank, MapOrder order) {
+asio::awaitable<void> RankAgent::sendToOwnRank(unsigned rank, MapOrder order) {
   MapOrderReply reply;
   reply.Id = order.Id;
-  reply.Result = co_await Rank.give(std::move(order));
+  reply.Result = co_await Rank.sendOrder(std::move(order));
   apply(Switch.onReply(rank, reply, monotonicNow()));
   if (!IsReading)
     co_await readRank();
 }
 
 /// Forwards the coordinator's order to this agent's rank.
-asio::awaitable<void> RankAgent::giveFor(EndpointId from, MapOrder order) {
+asio::awaitable<void> RankAgent::forwardOrder(EndpointId from, MapOrder order) {
   MapOrderReply reply;
   reply.Id = order.Id;
   std::uint64_t newest = Member ? Member->Lease.newestHolder().get() : 0;
@@ -468,7 +473,7 @@
     Peers.send(from, reply, monotonicNow());
     co_return;
   }
-  reply.Result = co_await Rank.give(std::move(order));
+  reply.Result = co_await Rank.sendOrder(std::move(order));
   Peers.send(from, reply, monotonicNow());
   if (!IsReading)
     co_await readRank();
--- a/lib/Process/RankReach.cpp
+++ b/lib/Process/RankBypass.cpp
@@ -1,4 +1,4 @@
-//===- RankReach.cpp - ranks whose agents send no reports -----------------===//
+//===- RankBypass.cpp - ranks whose agents send no reports ----------------===//
 //
 // The part of RankAgent with which a coordinator bypasses the agents on other
 // hosts, to query their ranks and send them orders. See RankAgent.h.
@@ -19,17 +19,17 @@
 static constexpr int UnreachableOneIn = 10;
 /// How old a rank's report may be when read from another host. The engines
 /// specify 200 ms; the rest is a margin.
-static constexpr Duration FarReportLag = std::chrono::milliseconds(300);
+static constexpr Duration DirectReportLag = std::chrono::milliseconds(300);
 /// Timeout of a read of the list of endpoints.
 static constexpr Duration ListTimeout = std::chrono::seconds(1);
 
-void RankAgent::reachSilentRanks(TimePoint now) {
+void RankAgent::bypassSilentAgents(TimePoint now) {
   if (!Own)
     return;
   if (Reach.takeListQuestion(Own->Size, now))
     spawn(readCandidates());
   for (const TcpAddress &it : Reach.take(Own->Size, now))
-    spawn(readFar(it));
+    spawn(readDirectly(it));
 }
 
 /// Reads the list of endpoints to find ranks whose addresses are not known.
@@ -51,15 +51,15 @@
 }
 
 /// The link that bypasses the agent of the rank at \p address.
-std::shared_ptr<RankLink> RankAgent::farLink(const TcpAddress &address) {
-  std::shared_ptr<RankLink> &link = FarLinks[address];
+std::shared_ptr<RankLink> RankAgent::directLink(const TcpAddress &address) {
+  std::shared_ptr<RankLink> &link = DirectLinks[address];
   if (!link)
     link = std::make_shared<RankLink>(Context, address);
   return link;
 }
 
-asio::awaitable<void> RankAgent::readFar(TcpAddress address) {
-  std::shared_ptr<RankLink> link = farLink(address);
+asio::awaitable<void> RankAgent::readDirectly(TcpAddress address) {
+  std::shared_ptr<RankLink> link = directLink(address);
   Result<RankStatus> status = co_await link->readStatus(false);
   TimePoint now = monotonicNow();
   if (!status) {
@@ -75,20 +75,20 @@
   Reach.onFound(rank, address);
   if (Reach.isHeard(rank, now))
     co_return;
-  LOG_IF(INFO, !FarRanks.contains(rank))
+  LOG_IF(INFO, !DirectRanks.contains(rank))
       << LogEvent("rank.reached")
              .with("rank", rank)
              .with("step", status.value().Step.get());
-  FarRanks[rank] = link;
-  apply(Switch.onStatus(rank, status.value(), now - FarReportLag, now));
+  DirectRanks[rank] = link;
+  apply(Switch.onStatus(rank, status.value(), now - DirectReportLag, now));
 }
 
-asio::awaitable<void> RankAgent::giveFar(std::shared_ptr<RankLink> link,
-                                         unsigned rank, MapOrder order) {
+asio::awaitable<void> RankAgent::sendDirectly(std::shared_ptr<RankLink> link,
+                                              unsigned rank, MapOrder order) {
   MapOrderReply reply;
   reply.Id = order.Id;
-  reply.Result = co_await link->give(std::move(order));
-  Repeating.erase(rank);
+  reply.Result = co_await link->sendOrder(std::move(order));
+  RetriesInFlight.erase(rank);
   apply(Switch.onReply(rank, reply, monotonicNow()));
 }
 
@@ -98,15 +98,16 @@
 /// the rank itself, but only one at a time, as such calls are charged for.
 /// Copies on two links may overtake each other; only ranks that compare fencing
 /// tokens then keep the newest order.
-std::shared_ptr<RankLink> RankAgent::repeatLink(const SendMapOrder &action) {
+std::shared_ptr<RankLink>
+RankAgent::chooseRetryLink(const SendMapOrder &action) {
   auto status = Switch.ranks().find(action.Rank);
   if (!Settings.ChecksFences || action.Tries % 2 == 0 ||
       OrderLane::mustWait(action.Order) || status == Switch.ranks().end())
     return nullptr;
   Result<TcpAddress> address = parseAddress(status->second.Endpoint);
-  if (!address || !Repeating.insert(action.Rank).second)
+  if (!address || !RetriesInFlight.insert(action.Rank).second)
     return nullptr;
-  return farLink(address.value());
+  return directLink(address.value());
 }
 
 /// The direct link on which the first Hold order of a change is sent; null for
@@ -114,7 +115,8 @@
 /// forwards the order, the rank that holds the step could not be reached. So
 /// the order is sent to the rank itself, though such calls are charged for. If
 /// this host freezes instead, other agents can release the step.
-std::shared_ptr<RankLink> RankAgent::holdLink(const SendMapOrder &action) {
+std::shared_ptr<RankLink>
+RankAgent::chooseHoldLink(const SendMapOrder &action) {
   bool isFirstHold = action.Order.Kind == MapOrderKind::Hold &&
                      Switch.phase() == SwitchPhase::Holding;
   auto status = Switch.ranks().find(action.Rank);
@@ -123,5 +125,5 @@
   Result<TcpAddress> address = parseAddress(status->second.Endpoint);
   if (!address)
     return nullptr;
-  return farLink(address.value());
+  return directLink(address.value());
 }
--- a/lib/Process/RankLink.cpp
+++ b/lib/Process/RankLink.cpp
@@ -79,7 +79,7 @@
   co_return boost::outcome_v2::success();
 }
 
-asio::awaitable<MapOrderResult> RankLink::give(MapOrder order) {
+asio::awaitable<MapOrderResult> RankLink::sendOrder(MapOrder order) {
   HttpRequest request = platform::makeOrderCall(order);
   // Retry at once if the connection is lost: a second copy of the order has the
   // same fencing token and the same effect, and a step that waits for the order
--- a/lib/Process/RankPlans.cpp
+++ b/lib/Process/RankPlans.cpp
@@ -17,16 +17,16 @@
 // docs/PLATFORM.md describes the traffic for which these values were set.
 
 /// Time between two plans.
-static constexpr Duration PlanEvery = std::chrono::milliseconds(100);
+static constexpr Duration MinPlanInterval = std::chrono::milliseconds(100);
 /// Time between two log lines about a group.
-static constexpr Duration GroupLineEvery = std::chrono::seconds(1);
+static constexpr Duration GroupLogInterval = std::chrono::seconds(1);
 /// Time between two attempts to read the engine's parameters.
-static constexpr Duration FiguresRetry = std::chrono::seconds(1);
+static constexpr Duration SettingsReadRetry = std::chrono::seconds(1);
 /// Timeout of such a read. The parameters are part of the whole configuration,
 /// some 0.3 MB, and are read over a narrow link that is busiest just after a
 /// large group was formed. With a timeout of 1 s, abandoned and restarted reads
 /// filled the link permanently, and the group kept its initial map.
-static constexpr Duration FiguresTimeout = std::chrono::seconds(5);
+static constexpr Duration SettingsReadTimeout = std::chrono::seconds(5);
 /// Smallest reduction of the skew for which the map is changed; below this,
 /// copying experts costs more than the change gains.
 static constexpr double MinSkewGain = 0.2;
@@ -34,42 +34,44 @@
 /// once; a newly formed group has a skew of 3.3.
 static constexpr double HighSkew = 2.5;
 
-void RankAgent::readFigures() {
+void RankAgent::readEngineSettings() {
   TimePoint now = monotonicNow();
-  if (now < NextFigures)
+  if (now < NextSettingsRead)
     return;
-  NextFigures = now + FiguresTimeout + FiguresRetry;
+  NextSettingsRead = now + SettingsReadTimeout + SettingsReadRetry;
   KvCall call = KvGet{platform::ConfigDocumentKey, true};
-  Platform.call(std::move(call), FiguresTimeout, [this](const KvReply &reply) {
-    NextFigures = monotonicNow() + FiguresRetry;
-    Result<FleetConfig> config =
-        reply.Code == ResultCode::Ok
-            ? platform::readConfig(reply.Value)
-            : Result<FleetConfig>(
-                  Error{reply.Code, "cannot read the configuration"});
-    if (!config) {
-      LOG(WARNING) << LogEvent("figures.unknown")
-                          .with("code",
-                                static_cast<unsigned>(config.error().Code))
-                          .with("detail", config.error().Detail);
-      return;
-    }
-    const ServiceRule *service =
-        config.value().findService(ServiceId(Settings.Service));
-    if (service)
-      Figures = service->Engine;
-  });
+  Platform.call(
+      std::move(call), SettingsReadTimeout, [this](const KvReply &reply) {
+        NextSettingsRead = monotonicNow() + SettingsReadRetry;
+        Result<FleetConfig> config =
+            reply.Code == ResultCode::Ok
+                ? platform::readConfig(reply.Value)
+                : Result<FleetConfig>(
+                      Error{reply.Code, "cannot read the configuration"});
+        if (!config) {
+          LOG(WARNING) << LogEvent("figures.unknown")
+                              .with("code",
+                                    static_cast<unsigned>(config.error().Code))
+                              .with("detail", config.error().Detail);
+          return;
+        }
+        const ServiceRule *service =
+            config.value().findService(ServiceId(Settings.Service));
+        if (service)
+          EngineSettings = service->Engine;
+      });
 }
 
 void RankAgent::considerPlan() {
   TimePoint now = monotonicNow();
-  if (!Figures && Switch.isLeading())
-    readFigures();
-  if (now < NextPlan || !Figures || !Switch.canBegin(now) || !mayBegin(now))
+  if (!EngineSettings && Switch.isLeading())
+    readEngineSettings();
+  if (now < NextPlan || !EngineSettings || !Switch.canBegin(now) ||
+      !canBeginChange(now))
     return;
-  if (!fitsFigures() || !Demand.isSettled(now))
+  if (!matchesEngineSettings() || !Demand.isSettled(now))
     return;
-  NextPlan = now + PlanEvery;
+  NextPlan = now + MinPlanInterval;
   logGroup();
   PlacementPlan plan = makePlan(false);
   if (plan.SkewBefore > HighSkew)
@@ -88,8 +90,9 @@
 }
 
 PlacementPlan RankAgent::makePlan(bool isUrgent) const {
-  ChangeBudget budget(Figures->CopyTime);
-  PlacementLimits limits{Figures->PlacesPerRank, Figures->SparePlaces,
+  ChangeBudget budget(EngineSettings->CopyTime);
+  PlacementLimits limits{EngineSettings->PlacesPerRank,
+                         EngineSettings->SparePlaces,
                          budget.newPerRank(isUrgent), budget.minGain()};
   return PlacementPlanner(limits).plan(Switch.placement(), Demand.demand(),
                                        Switch.paces());
@@ -99,10 +102,10 @@
 /// shows pauses of the group.
 void RankAgent::logGroup() {
   TimePoint now = monotonicNow();
-  if (now < NextGroupLine || !Switch.canBegin(now) || !fitsFigures())
+  if (now < NextGroupLog || !Switch.canBegin(now) || !matchesEngineSettings())
     return;
-  NextGroupLine = now + GroupLineEvery;
-  PlacementLimits none{Figures->PlacesPerRank, 0, 0, 0};
+  NextGroupLog = now + GroupLogInterval;
+  PlacementLimits none{EngineSettings->PlacesPerRank, 0, 0, 0};
   PlacementPlan present = PlacementPlanner(none).plan(
       Switch.placement(), Demand.demand(), Switch.paces());
   Measures.set("group_skew", present.SkewBefore);
@@ -115,17 +118,19 @@
 }
 
 /// Whether the engine's parameters are known and match the ranks' reports.
-bool RankAgent::fitsFigures() const {
-  if (!Figures || Figures->ExpertSets == 0 || Switch.ranks().empty())
+bool RankAgent::matchesEngineSettings() const {
+  if (!EngineSettings || EngineSettings->ExpertSets == 0 ||
+      Switch.ranks().empty())
     return false;
   const RankPlacement &first = Switch.ranks().begin()->second.Placement;
-  return first.size() == Figures->ExpertSets &&
-         Demand.demand().size() == Figures->ExpertSets * Figures->Experts &&
+  return first.size() == EngineSettings->ExpertSets &&
+         Demand.demand().size() ==
+             EngineSettings->ExpertSets * EngineSettings->Experts &&
          Demand.total() > 0;
 }
 
 /// The name of \p phase in logs and metrics.
-static const char *phaseWord(SwitchPhase phase) {
+static const char *phaseName(SwitchPhase phase) {
   switch (phase) {
   case SwitchPhase::Idle:
     return "idle";
@@ -154,12 +159,12 @@
     return;
   LoggedPhase = Switch.phase();
   Measures.count("map_phases_total{phase=\"" +
-                 std::string(phaseWord(LoggedPhase)) + "\"}");
+                 std::string(phaseName(LoggedPhase)) + "\"}");
   auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
       monotonicNow() - Switch.beganAt());
   LOG(INFO) << LogEvent("map.phase")
                    .with("group", Member ? Member->Group.get() : "")
                    .with("version", Switch.version().get())
-                   .with("phase", phaseWord(LoggedPhase))
+                   .with("phase", phaseName(LoggedPhase))
                    .with("ms", age.count());
 }
--- a/lib/Process/RankRole.cpp
+++ b/lib/Process/RankRole.cpp
@@ -20,11 +20,11 @@
 Result<void> ospreyspur::runRank(const RankSettings &settings) {
   boost::asio::io_context ioc(1);
   Metrics measures;
-  MetricsServer figures(ioc, measures);
+  MetricsServer exporter(ioc, measures);
   RankAgent agent(ioc, settings, measures, std::random_device{}());
   Result<void> started = agent.start();
   if (started && !settings.MetricsListen.empty())
-    started = figures.listen(settings.MetricsListen);
+    started = exporter.listen(settings.MetricsListen);
   if (!started)
     return started;
   boost::asio::signal_set signals(ioc, SIGTERM, SIGINT);
--- a/lib/Process/SettingsWatch.cpp
+++ b/lib/Process/SettingsWatch.cpp
@@ -35,7 +35,7 @@
   Signals.async_wait([this](boost::system::error_code ec, int /*signal*/) {
     if (ec)
       return;
-    look("signal");
+    reloadIfChanged("signal");
     waitForSignal();
   });
 }
@@ -45,12 +45,12 @@
   Timer.async_wait([this](boost::system::error_code ec) {
     if (ec)
       return;
-    look("time");
+    reloadIfChanged("time");
     waitForTime();
   });
 }
 
-void SettingsWatch::look(const char *cause) {
+void SettingsWatch::reloadIfChanged(const char *cause) {
   std::string text = readText(Path);
   if (text == Text)
     return;
--- a/unittests/Process/AgentPushbackTest.cpp
+++ b/unittests/Process/AgentPushbackTest.cpp
@@ -6,14 +6,14 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "NeedyWorld.h"
+#include "PushbackWorld.h"
 
 #include "ospreyspur/Process/AgentTraffic.h"
 #include "ospreyspur/Rpc/PeerClient.h"
 
 using namespace ospreyspur;
 using ospreyspur::test::Arrival;
-using ospreyspur::test::NeedyEndpoint;
+using ospreyspur::test::PushbackEndpoint;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -21,8 +21,8 @@
 /// An agent, its endpoint and a link from an entry.
 class AgentWorld {
 public:
-  explicit AgentWorld(NeedyEndpoint::Answer answer)
-      : Endpoint(Context, "e", std::move(answer)),
+  explicit AgentWorld(PushbackEndpoint::ResponseMaker response)
+      : Endpoint(Context, "e", std::move(response)),
         Agent(Context, makeSettings(), Endpoint.record().Address,
               Incarnation(7), "key", Measures, 1) {
     REQUIRE(Agent.start());
@@ -98,7 +98,7 @@
   boost::asio::io_context Context;
   Metrics Measures;
   AgentSettings Settings;
-  NeedyEndpoint Endpoint;
+  PushbackEndpoint Endpoint;
   AgentTraffic Agent;
   std::unique_ptr<PeerClient> Link;
   boost::asio::steady_timer Timer{Context};
@@ -112,8 +112,8 @@
 // many requests as the endpoint has slots.
 TEST_CASE("an agent sends its endpoint no more requests than the rate limit "
           "that the endpoint advertises") {
-  AgentWorld world([](HttpResponse &answer) {
-    answer.set("Ospreyspur-Rate-Limit", "2");
+  AgentWorld world([](HttpResponse &response) {
+    response.set("Ospreyspur-Rate-Limit", "2");
     return 200U;
   });
   world.load(seconds(5));
@@ -125,8 +125,8 @@
 // Guards against an agent that keeps sending requests to an endpoint that
 // refuses all of them.
 TEST_CASE("an agent sends its endpoint nothing during a backoff") {
-  AgentWorld world([](HttpResponse &answer) {
-    answer.set("Retry-After", "2");
+  AgentWorld world([](HttpResponse &response) {
+    response.set("Retry-After", "2");
     return 503U;
   });
   world.load(seconds(3));
@@ -144,8 +144,8 @@
 // host list, too, shows that the endpoint is leaving.
 TEST_CASE("an agent takes no more requests once a response of its endpoint "
           "says that the endpoint is leaving") {
-  AgentWorld world([](HttpResponse &answer) {
-    answer.set("Ospreyspur-Leaving", "1");
+  AgentWorld world([](HttpResponse &response) {
+    response.set("Ospreyspur-Leaving", "1");
     return 200U;
   });
   world.load(seconds(2));
--- a/unittests/Process/RestingEndpointTest.cpp
+++ b/unittests/Process/BackoffEndpointTest.cpp
@@ -1,33 +1,33 @@
-//===- RestingEndpointTest.cpp - endpoints in backoff ---------------------===//
+//===- BackoffEndpointTest.cpp - endpoints in backoff ---------------------===//
 //
 // Endpoints that refuse requests with a Retry-After, during which the entry
 // must send them none, over real sockets.
 //
 //===----------------------------------------------------------------------===//
 
-#include "NeedyWorld.h"
+#include "PushbackWorld.h"
 
 using namespace ospreyspur;
 using ospreyspur::test::Arrival;
-using ospreyspur::test::NeedyWorld;
+using ospreyspur::test::PushbackWorld;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 static constexpr unsigned Entries = 4;
-static constexpr Duration Rest = seconds(2);
+static constexpr Duration Backoff = seconds(2);
 /// How long after a refusal requests in flight may still arrive.
-static constexpr Duration OnTheWay = milliseconds(500);
+static constexpr Duration InFlightTime = milliseconds(500);
 
-static unsigned asksForRest(HttpResponse &answer) {
-  answer.set("Retry-After", "2");
+static unsigned refuseWithRetryAfter(HttpResponse &response) {
+  response.set("Retry-After", "2");
   return 503;
 }
 
-static unsigned serves(HttpResponse & /*answer*/) { return 200; }
+static unsigned serveRequest(HttpResponse & /*response*/) { return 200; }
 
 /// Number of requests that arrived from an entry during a backoff that this
 /// entry had received, apart from requests in flight at its beginning.
-static std::size_t countWithinRests(const std::vector<Arrival> &arrivals) {
+static std::size_t countDuringBackoffs(const std::vector<Arrival> &arrivals) {
   std::size_t n = 0;
   std::map<char, std::vector<TimePoint>> byEntry;
   for (const Arrival &it : arrivals)
@@ -35,7 +35,7 @@
   for (const auto &[entry, times] : byEntry)
     for (TimePoint at : times)
       n += std::any_of(times.begin(), times.end(), [at](TimePoint asked) {
-        return at > asked + OnTheWay && at < asked + Rest;
+        return at > asked + InFlightTime && at < asked + Backoff;
       });
   return n;
 }
@@ -43,24 +43,25 @@
 // Guards against entries that prefer an endpoint that refuses everything again
 // after 100 ms, as no requests run there.
 TEST_CASE("an endpoint in backoff gets no requests until the backoff ends") {
-  NeedyWorld world({asksForRest, serves, serves});
+  PushbackWorld world({refuseWithRetryAfter, serveRequest, serveRequest});
   world.addEntries(Entries);
   world.load(300, milliseconds(20));
   world.run(seconds(6) + milliseconds(500));
-  CHECK(countWithinRests(world.endpoint(0).arrivals()) == 0);
+  CHECK(countDuringBackoffs(world.endpoint(0).arrivals()) == 0);
   CHECK(world.endpoint(0).arrivals().size() >= Entries);
-  CHECK(world.told().at("HTTP/1.1 200") == Entries * 300);
+  CHECK(world.statusCounts().at("HTTP/1.1 200") == Entries * 300);
 }
 
 TEST_CASE("callers are refused with spread Retry-After values while all "
           "endpoints are in backoff") {
-  NeedyWorld world({asksForRest, asksForRest, asksForRest});
+  PushbackWorld world(
+      {refuseWithRetryAfter, refuseWithRetryAfter, refuseWithRetryAfter});
   world.addEntries(Entries);
   world.load(100, milliseconds(20));
   world.run(seconds(4));
   for (unsigned i = 0; i < 3; ++i)
-    CHECK(countWithinRests(world.endpoint(i).arrivals()) == 0);
-  CHECK(world.told().at("HTTP/1.1 503") >= Entries * 90);
+    CHECK(countDuringBackoffs(world.endpoint(i).arrivals()) == 0);
+  CHECK(world.statusCounts().at("HTTP/1.1 503") >= Entries * 90);
   std::vector<double> returns = world.retryAfters();
   REQUIRE(returns.size() >= Entries * 90);
   std::sort(returns.begin(), returns.end());
--- a/unittests/Process/CrashingRequestTest.cpp
+++ b/unittests/Process/CrashingRequestTest.cpp
@@ -34,7 +34,8 @@
 using std::chrono::milliseconds;
 
 static constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-static constexpr std::string_view Deadly = "crashes any endpoint that runs it";
+static constexpr std::string_view CrashingBody =
+    "crashes any endpoint that runs it";
 /// How long an endpoint takes to restart.
 static constexpr milliseconds DownTime(400);
 /// How long a crashing endpoint may accept connections after it has cut off its
@@ -51,10 +52,10 @@
 namespace {
 /// An endpoint that crashes when it runs the crashing body, and is restarted
 /// under the same name and address.
-class MortalEndpoint {
+class CrashingEndpoint {
 public:
-  MortalEndpoint(asio::io_context &ioc, std::string name,
-                 std::function<void()> onChange)
+  CrashingEndpoint(asio::io_context &ioc, std::string name,
+                   std::function<void()> onChange)
       : Context(ioc), Name(std::move(name)), OnChange(std::move(onChange)),
         Acceptor(ioc), Address(test::findFreeAddress()) {
     start();
@@ -81,14 +82,14 @@
       it->set_option(asio::socket_base::linger(true, 0), ec);
       it->close(ec);
     }
-    asio::co_spawn(Context, comeBack(), asio::detached);
+    asio::co_spawn(Context, restartLater(), asio::detached);
   }
 
   void listenLast() { ListensLast = true; }
 
   bool isUp() const { return Acceptor.is_open(); }
   /// Number of crashes caused by the crashing body.
-  unsigned deaths() const { return Deaths; }
+  unsigned crashCount() const { return Crashes; }
 
 private:
   using Socket = std::shared_ptr<tcp::socket>;
@@ -102,7 +103,7 @@
     asio::co_spawn(Context, acceptAll(), asio::detached);
   }
 
-  asio::awaitable<void> comeBack() {
+  asio::awaitable<void> restartLater() {
     co_await pause(ListensLast ? ClosingTime : milliseconds(0));
     boost::system::error_code ec;
     Acceptor.close(ec);
@@ -141,8 +142,8 @@
     co_await pause(RunTime);
     if (!Open.contains(socket))
       co_return;
-    if (text.find(Deadly) != std::string::npos) {
-      ++Deaths;
+    if (text.find(CrashingBody) != std::string::npos) {
+      ++Crashes;
       crash();
       co_return;
     }
@@ -166,18 +167,18 @@
   tcp::acceptor Acceptor;
   tcp::endpoint Address;
   unsigned Life = 0;
-  unsigned Deaths = 0;
+  unsigned Crashes = 0;
   bool ListensLast = false;
   std::set<Socket> Open;
 };
 
 /// Number of responses to callers, by status line.
-using Told = std::map<std::string, unsigned>;
+using StatusCounts = std::map<std::string, unsigned>;
 
 /// Real entries in front of such endpoints.
-class MortalWorld {
+class CrashingWorld {
 public:
-  MortalWorld(unsigned entries, unsigned endpoints) {
+  CrashingWorld(unsigned entries, unsigned endpoints) {
     for (unsigned i = 0; i < endpoints; ++i)
       Endpoints.emplace_back(Context, "e" + std::to_string(i),
                              [this] { publish(); });
@@ -202,15 +203,16 @@
   }
 
   /// Sends \p body to entry \p i after \p delay.
-  void callAfter(milliseconds delay, unsigned i, std::string body, Told &told) {
-    asio::co_spawn(Context, call(delay, i, std::move(body), told),
+  void callAfter(milliseconds delay, unsigned i, std::string body,
+                 StatusCounts &counts) {
+    asio::co_spawn(Context, call(delay, i, std::move(body), counts),
                    asio::detached);
   }
 
   void crashAfter(milliseconds delay, unsigned endpoint) {
     asio::co_spawn(
         Context,
-        [](milliseconds span, MortalEndpoint &it) -> asio::awaitable<void> {
+        [](milliseconds span, CrashingEndpoint &it) -> asio::awaitable<void> {
           co_await pause(span);
           if (it.isUp())
             it.crash();
@@ -219,7 +221,7 @@
   }
 
   void listenLast() {
-    for (MortalEndpoint &it : Endpoints)
+    for (CrashingEndpoint &it : Endpoints)
       it.listenLast();
   }
 
@@ -228,10 +230,10 @@
     Context.run_for(span);
   }
 
-  unsigned deaths() const {
+  unsigned crashCount() const {
     unsigned n = 0;
-    for (const MortalEndpoint &it : Endpoints)
-      n += it.deaths();
+    for (const CrashingEndpoint &it : Endpoints)
+      n += it.crashCount();
     return n;
   }
 
@@ -259,7 +261,7 @@
     for (std::size_t i = 0; i < Entries.size(); ++i) {
       auto snapshot = std::make_shared<DirectSnapshot>();
       snapshot->Config = Config;
-      for (const MortalEndpoint &it : Endpoints)
+      for (const CrashingEndpoint &it : Endpoints)
         snapshot->Endpoints.push_back({it.record(), false});
       for (std::size_t k = 0; k < Entries.size(); ++k)
         if (k != i)
@@ -271,7 +273,7 @@
   }
 
   asio::awaitable<void> call(milliseconds delay, unsigned i, std::string body,
-                             Told &told) {
+                             StatusCounts &counts) {
     co_await pause(delay);
     tcp::socket socket(Context);
     auto [ec] = co_await socket.async_connect(
@@ -285,13 +287,13 @@
     std::string text;
     co_await asio::async_read_until(socket, asio::dynamic_buffer(text),
                                     "\r\n\r\n", AsTuple);
-    ++told[text.substr(0, std::min<std::size_t>(text.size(), 12))];
+    ++counts[text.substr(0, std::min<std::size_t>(text.size(), 12))];
   }
 
   asio::io_context Context;
   Metrics Measures;
   std::shared_ptr<const FleetConfig> Config = makeConfig();
-  std::list<MortalEndpoint> Endpoints;
+  std::list<CrashingEndpoint> Endpoints;
   std::vector<std::unique_ptr<DirectSettings>> Settings;
   std::vector<std::unique_ptr<DirectTraffic>> Entries;
   unsigned LastRequest = 0;
@@ -300,75 +302,76 @@
 
 /// Most crashes allowed: three until the request is quarantined, and three more
 /// endpoints that may run the request at the same time.
-static constexpr unsigned MostDeaths = 6;
+static constexpr unsigned MaxCrashes = 6;
 static constexpr std::string_view Served = "HTTP/1.1 200";
 
 TEST_CASE("a request that crashes endpoints is not sent on without limit") {
   constexpr unsigned Entries = 3;
-  MortalWorld world(Entries, 8);
-  Told deadly;
+  CrashingWorld world(Entries, 8);
+  StatusCounts crashingCounts;
   for (unsigned i = 0; i < 40; ++i)
-    world.callAfter(milliseconds(100 * i), i % Entries, std::string(Deadly),
-                    deadly);
-  Told innocent;
-  constexpr unsigned Innocent = 400;
-  for (unsigned i = 0; i < Innocent; ++i)
+    world.callAfter(milliseconds(100 * i), i % Entries,
+                    std::string(CrashingBody), crashingCounts);
+  StatusCounts innocentCounts;
+  constexpr unsigned InnocentRequests = 400;
+  for (unsigned i = 0; i < InnocentRequests; ++i)
     world.callAfter(milliseconds(10 * i), i % Entries,
-                    "innocent " + std::to_string(i), innocent);
+                    "innocent " + std::to_string(i), innocentCounts);
   world.run(milliseconds(5500));
-  CHECK(world.deaths() >= 1);
-  CHECK(world.deaths() <= MostDeaths);
-  CHECK(deadly[std::string(Served)] == 0);
+  CHECK(world.crashCount() >= 1);
+  CHECK(world.crashCount() <= MaxCrashes);
+  CHECK(crashingCounts[std::string(Served)] == 0);
   unsigned answered = 0;
-  for (const auto &[status, n] : deadly)
+  for (const auto &[status, n] : crashingCounts)
     answered += n;
   CHECK(answered == 40);
   // Requests that ran on the same endpoints are retried on others.
-  CHECK(innocent[std::string(Served)] >= Innocent - 2);
+  CHECK(innocentCounts[std::string(Served)] >= InnocentRequests - 2);
 }
 
 TEST_CASE("a crash is detected though the endpoint accepts connections") {
   constexpr unsigned Entries = 3;
-  MortalWorld world(Entries, 8);
+  CrashingWorld world(Entries, 8);
   world.listenLast();
-  Told deadly;
+  StatusCounts crashingCounts;
   for (unsigned i = 0; i < 40; ++i)
-    world.callAfter(milliseconds(100 * i), i % Entries, std::string(Deadly),
-                    deadly);
+    world.callAfter(milliseconds(100 * i), i % Entries,
+                    std::string(CrashingBody), crashingCounts);
   world.run(milliseconds(5500));
-  CHECK(world.deaths() >= 1);
-  CHECK(world.deaths() <= MostDeaths);
+  CHECK(world.crashCount() >= 1);
+  CHECK(world.crashCount() <= MaxCrashes);
 }
 
 TEST_CASE("no request is refused for crashes that no request causes") {
   constexpr unsigned Entries = 3;
-  MortalWorld world(Entries, 8);
+  CrashingWorld world(Entries, 8);
   for (unsigned i = 0; i < 12; ++i)
     world.crashAfter(milliseconds(200 + 250 * i), i % 8);
-  Told told;
+  StatusCounts counts;
   constexpr unsigned Requests = 400;
   for (unsigned i = 0; i < Requests; ++i)
     world.callAfter(milliseconds(10 * i), i % Entries,
-                    "innocent " + std::to_string(i), told);
+                    "innocent " + std::to_string(i), counts);
   world.run(milliseconds(5500));
-  CHECK(world.deaths() == 0);
-  CHECK(told[std::string(Served)] >= Requests - 2);
+  CHECK(world.crashCount() == 0);
+  CHECK(counts[std::string(Served)] >= Requests - 2);
 }
 
 TEST_CASE("a new entry learns of quarantined requests from other entries") {
   constexpr unsigned Entries = 3;
-  MortalWorld world(Entries, 8);
-  Told deadly;
+  CrashingWorld world(Entries, 8);
+  StatusCounts crashingCounts;
   for (unsigned i = 0; i < 10; ++i)
-    world.callAfter(milliseconds(100 * i), i % Entries, std::string(Deadly),
-                    deadly);
+    world.callAfter(milliseconds(100 * i), i % Entries,
+                    std::string(CrashingBody), crashingCounts);
   world.run(milliseconds(2500));
-  unsigned before = world.deaths();
+  unsigned before = world.crashCount();
   CHECK(before >= 1);
   unsigned last = world.addEntry();
   world.run(milliseconds(1000));
   for (unsigned i = 0; i < 10; ++i)
-    world.callAfter(milliseconds(100 * i), last, std::string(Deadly), deadly);
+    world.callAfter(milliseconds(100 * i), last, std::string(CrashingBody),
+                    crashingCounts);
   world.run(milliseconds(2500));
-  CHECK(world.deaths() == before);
+  CHECK(world.crashCount() == before);
 }
--- a/unittests/Process/DirectTrafficTest.cpp
+++ b/unittests/Process/DirectTrafficTest.cpp
@@ -171,11 +171,11 @@
       exchange.cut();
       co_return;
     }
-    HttpResponse answer;
-    answer.result(500);
-    answer.set("Request-Id", exchange.header("Request-Id"));
-    answer.set("Replica-Stamp", "s");
-    co_await exchange.respond(std::move(answer));
+    HttpResponse response;
+    response.result(500);
+    response.set("Request-Id", exchange.header("Request-Id"));
+    response.set("Replica-Stamp", "s");
+    co_await exchange.respond(std::move(response));
   }
 
   HttpServer Server;
--- a/unittests/Process/LeavingEndpointTest.cpp
+++ b/unittests/Process/LeavingEndpointTest.cpp
@@ -5,11 +5,11 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "NeedyWorld.h"
+#include "PushbackWorld.h"
 
 using namespace ospreyspur;
 using ospreyspur::test::Arrival;
-using ospreyspur::test::NeedyWorld;
+using ospreyspur::test::PushbackWorld;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -18,12 +18,12 @@
 TEST_CASE("an endpoint that reports in a response that it is leaving gets no "
           "more requests") {
   constexpr unsigned Entries = 4;
-  NeedyWorld world({[](HttpResponse &answer) {
-                      answer.set("Server-Leaving", "1");
-                      return 200U;
-                    },
-                    [](HttpResponse &) { return 200U; },
-                    [](HttpResponse &) { return 200U; }});
+  PushbackWorld world({[](HttpResponse &response) {
+                         response.set("Server-Leaving", "1");
+                         return 200U;
+                       },
+                       [](HttpResponse &) { return 200U; },
+                       [](HttpResponse &) { return 200U; }});
   world.addEntries(Entries);
   world.load(150, milliseconds(20));
   world.run(seconds(3) + milliseconds(500));
@@ -32,5 +32,5 @@
   // Requests in flight still arrive, and the first entry needs some time to
   // report the leaving endpoint to the other entries.
   CHECK(arrivals.back().At - arrivals.front().At <= milliseconds(300));
-  CHECK(world.told().at("HTTP/1.1 200") == Entries * 150);
+  CHECK(world.statusCounts().at("HTTP/1.1 200") == Entries * 150);
 }
--- a/unittests/Process/NeedyWorld.h
+++ b/unittests/Process/PushbackWorld.h
@@ -1,4 +1,4 @@
-//===- NeedyWorld.h - entries and endpoints with pushback -------*- C++ -*-===//
+//===- PushbackWorld.h - entries and endpoints with pushback ----*- C++ -*-===//
 //
 // Real entries and endpoints on sockets. A function of the test makes the
 // endpoints' responses. Each endpoint records the time and the entry of each
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_PROCESS_NEEDYWORLD_H
-#define OSPREYSPUR_UNITTESTS_PROCESS_NEEDYWORLD_H
+#ifndef OSPREYSPUR_UNITTESTS_PROCESS_PUSHBACKWORLD_H
+#define OSPREYSPUR_UNITTESTS_PROCESS_PUSHBACKWORLD_H
 
 #include "FreeAddress.h"
 
@@ -44,13 +44,14 @@
 };
 
 /// An endpoint that responds to every request with a head made by the test.
-class NeedyEndpoint {
+class PushbackEndpoint {
 public:
   /// Returns a response's status and adds its headers.
-  using Answer = std::function<unsigned(HttpResponse &)>;
+  using ResponseMaker = std::function<unsigned(HttpResponse &)>;
 
-  NeedyEndpoint(asio::io_context &ioc, std::string name, Answer answer)
-      : Name(std::move(name)), MakeAnswer(std::move(answer)),
+  PushbackEndpoint(asio::io_context &ioc, std::string name,
+                   ResponseMaker response)
+      : Name(std::move(name)), MakeResponse(std::move(response)),
         Server(ioc, HttpLimits(), [this](HttpExchange &it) { return run(it); }),
         Address(findFreeAddress()) {
     REQUIRE(Server.listen(Address));
@@ -75,29 +76,30 @@
     Arrivals.push_back({exchange.header("Request-Id"), monotonicNow()});
     asio::steady_timer timer(co_await asio::this_coro::executor, Work);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    HttpResponse answer;
-    answer.set("Request-Id", exchange.header("Request-Id"));
-    answer.result(MakeAnswer(answer));
-    if (answer.result_int() == 503)
-      answer.set("Not-Executed", "1");
+    HttpResponse response;
+    response.set("Request-Id", exchange.header("Request-Id"));
+    response.result(MakeResponse(response));
+    if (response.result_int() == 503)
+      response.set("Not-Executed", "1");
     else
-      answer.set("Replica-Stamp", "s");
-    answer.body() = "ok";
-    co_await exchange.respond(std::move(answer));
+      response.set("Replica-Stamp", "s");
+    response.body() = "ok";
+    co_await exchange.respond(std::move(response));
   }
 
   std::string Name;
-  Answer MakeAnswer;
+  ResponseMaker MakeResponse;
   std::vector<Arrival> Arrivals;
   HttpServer Server;
   tcp::endpoint Address;
 };
 
 /// Real entries in front of such endpoints.
-class NeedyWorld {
+class PushbackWorld {
 public:
-  explicit NeedyWorld(const std::vector<NeedyEndpoint::Answer> &answers) {
-    for (const NeedyEndpoint::Answer &it : answers)
+  explicit PushbackWorld(
+      const std::vector<PushbackEndpoint::ResponseMaker> &answers) {
+    for (const PushbackEndpoint::ResponseMaker &it : answers)
       Endpoints.emplace_back(Context, "e" + std::to_string(Endpoints.size()),
                              it);
   }
@@ -119,11 +121,13 @@
     Context.run_for(span);
   }
 
-  NeedyEndpoint &endpoint(unsigned i) {
+  PushbackEndpoint &endpoint(unsigned i) {
     return *std::next(Endpoints.begin(), i);
   }
   /// Number of responses to callers by status line.
-  const std::map<std::string, unsigned> &told() const { return Told; }
+  const std::map<std::string, unsigned> &statusCounts() const {
+    return StatusCounts;
+  }
   /// The Retry-After of each response to a caller that has one, in s.
   const std::vector<double> &retryAfters() const { return RetryAfters; }
 
@@ -168,7 +172,7 @@
       auto snapshot = std::make_shared<DirectSnapshot>();
       snapshot->Config = Config;
       snapshot->AreNodesListed = true;
-      for (const NeedyEndpoint &it : Endpoints)
+      for (const PushbackEndpoint &it : Endpoints)
         snapshot->Endpoints.push_back({it.record(), false});
       for (std::size_t k = 0; k < Entries.size(); ++k)
         if (k != i)
@@ -202,7 +206,7 @@
     std::string text;
     co_await asio::async_read_until(socket, asio::dynamic_buffer(text),
                                     "\r\n\r\n", Tuple);
-    ++Told[text.substr(0, std::min<std::size_t>(text.size(), 12))];
+    ++StatusCounts[text.substr(0, std::min<std::size_t>(text.size(), 12))];
     if (std::size_t at = text.find(Retry); at != std::string::npos)
       RetryAfters.push_back(std::stod(text.substr(at + Retry.size())));
   }
@@ -210,10 +214,10 @@
   asio::io_context Context;
   Metrics Measures;
   std::shared_ptr<const FleetConfig> Config = makeConfig();
-  std::list<NeedyEndpoint> Endpoints;
+  std::list<PushbackEndpoint> Endpoints;
   std::vector<std::unique_ptr<DirectSettings>> Settings;
   std::vector<std::unique_ptr<DirectTraffic>> Entries;
-  std::map<std::string, unsigned> Told;
+  std::map<std::string, unsigned> StatusCounts;
   std::vector<double> RetryAfters;
   std::uint64_t LastSeed = 0;
   unsigned LastRequest = 0;
@@ -221,4 +225,4 @@
 
 } // namespace ospreyspur::test
 
-#endif // OSPREYSPUR_UNITTESTS_PROCESS_NEEDYWORLD_H
+#endif // OSPREYSPUR_UNITTESTS_PROCESS_PUSHBACKWORLD_H
--- a/unittests/Process/RateLimitedEndpointTest.cpp
+++ b/unittests/Process/RateLimitedEndpointTest.cpp
@@ -5,22 +5,22 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "NeedyWorld.h"
+#include "PushbackWorld.h"
 
 using namespace ospreyspur;
 using ospreyspur::test::Arrival;
-using ospreyspur::test::NeedyWorld;
+using ospreyspur::test::PushbackWorld;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 static constexpr unsigned Entries = 4;
 
-static unsigned namesOne(HttpResponse &answer) {
-  answer.set("Server-Limit", "1");
+static unsigned advertiseOne(HttpResponse &response) {
+  response.set("Server-Limit", "1");
   return 200;
 }
 
-static unsigned namesNothing(HttpResponse & /*answer*/) { return 200; }
+static unsigned advertiseNone(HttpResponse & /*response*/) { return 200; }
 
 /// The largest number of arrivals in any period of length \p span that begins
 /// at or after \p from.
@@ -41,7 +41,7 @@
 // Guards against entries that ignore an advertised rate limit and send the
 // endpoint its usual share of the requests.
 TEST_CASE("an endpoint gets no more requests than its advertised rate limit") {
-  NeedyWorld world({namesOne, namesNothing, namesNothing});
+  PushbackWorld world({advertiseOne, advertiseNone, advertiseNone});
   world.addEntries(Entries);
   world.load(350, milliseconds(20));
   TimePoint from = monotonicNow() + milliseconds(1000);
@@ -50,5 +50,5 @@
   // one beyond the limit.
   CHECK(mostWithin(world.endpoint(0).arrivals(), seconds(4), from) <= 6);
   CHECK(world.endpoint(0).arrivals().size() >= 4);
-  CHECK(world.told().at("HTTP/1.1 200") == Entries * 350);
+  CHECK(world.statusCounts().at("HTTP/1.1 200") == Entries * 350);
 }
