--- a/include/ospreyspur/Process/DirectCall.h
+++ b/include/ospreyspur/Process/DirectCall.h
@@ -44,14 +44,14 @@
   /// Whether the complete response has been sent. Status does not show this: a
   /// response that reports a failed run sets it, too, and is held back while
   /// other endpoints are tried.
-  bool IsAnswered = false;
+  bool IsResponseSent = false;
   /// A response that reports a failed run; sent if no other attempt succeeds.
-  std::optional<HttpResponse> FailedAnswer;
+  std::optional<HttpResponse> FailedResponse;
   /// The endpoints tried so far, separated by commas; for the log.
   std::string Endpoints;
   unsigned Status = 0;
   /// The rate limit and backoff in the last response's head.
-  Pushback Asked;
+  Pushback LastPushback;
   std::optional<TimePoint> FirstByte;
 };
 
--- a/include/ospreyspur/Process/EntryTraffic.h
+++ b/include/ospreyspur/Process/EntryTraffic.h
@@ -49,12 +49,12 @@
   using Inbox = Mailbox<EntryAction>;
 
   boost::asio::awaitable<void> handle(HttpExchange &exchange);
-  boost::asio::awaitable<void> answer(HttpExchange &exchange, Inbox &inbox,
-                                      CallId id);
+  boost::asio::awaitable<void> writeResponse(HttpExchange &exchange,
+                                             Inbox &inbox, CallId id);
   void apply(EntryActions actions);
   void perform(const SendToAgent &action);
   void perform(CallPlatform action);
-  template <typename Answer> void perform(Answer action);
+  template <typename ResponsePart> void perform(ResponsePart action);
   void finishCall(CallId id, ResultCode code, TimePoint began);
   void reportCrashes();
 
--- a/include/ospreyspur/Process/MetricsServer.h
+++ b/include/ospreyspur/Process/MetricsServer.h
@@ -23,7 +23,7 @@
   Result<void> listen(const std::string &address);
 
 private:
-  boost::asio::awaitable<void> answer(HttpExchange &exchange);
+  boost::asio::awaitable<void> serve(HttpExchange &exchange);
 
   const Metrics &Measures;
   HttpServer Server;
--- a/include/ospreyspur/Process/RankAgent.h
+++ b/include/ospreyspur/Process/RankAgent.h
@@ -72,7 +72,7 @@
   bool canBeginChange(TimePoint now) const;
   bool canBypassAgents(TimePoint now) const;
   void watchForStall(const RankStatus &status);
-  void askCoordinator();
+  void queryCoordinator();
   void takeOver(const RankStatus &status);
   void onMessage(LinkId from, const Message &message);
   void onCoordinatorMessage(const EndpointId &from, const Message &message);
@@ -107,7 +107,7 @@
   std::mt19937_64 Random;
   PlatformClient Platform;
   RankLink Rank;
-  std::optional<RankStatus> Own;
+  std::optional<RankStatus> OwnStatus;
   std::unique_ptr<Membership> Member;
   StallWatch Stall;
   CoordinatorWatch Coordinator;
@@ -131,7 +131,7 @@
   std::map<unsigned, LinkId> Links;
   /// The maps that were sent to the group's agents.
   SentMaps Sent;
-  OrderLane Lane;
+  OrderLane MapQueue;
   /// The map that this agent last received from a coordinator.
   ToldMap LastMap;
   /// Direct links to endpoints, for ranks whose agents send no reports.
@@ -139,7 +139,7 @@
   std::map<unsigned, std::shared_ptr<RankLink>> DirectRanks;
   /// Ranks to which a retry is in flight that bypasses their agent.
   std::set<unsigned> RetriesInFlight;
-  ReachPlanner Reach;
+  ReachPlanner DirectReads;
   NodeTimer Timer;
   NodeTimer LeaseTimer;
   NodeTimer OrderTimer;
--- a/lib/Process/AgentRole.cpp
+++ b/lib/Process/AgentRole.cpp
@@ -65,7 +65,7 @@
 
   const AgentSettings &Settings;
   EndpointId Self;
-  Incarnation Life;
+  Incarnation OwnIncarnation;
   ProcessThreads Threads;
   Metrics Measures;
   AgentTraffic Traffic;
@@ -79,10 +79,11 @@
 } // namespace
 
 AgentProcess::AgentProcess(const AgentSettings &settings)
-    : Settings(settings), Self(settings.EndpointName), Life(drawIncarnation()),
+    : Settings(settings), Self(settings.EndpointName),
+      OwnIncarnation(drawIncarnation()),
       Traffic(Threads.traffic(), settings,
-              parseAddress(settings.EndpointAddress).value(), Life, drawKey(),
-              Measures, std::random_device{}()),
+              parseAddress(settings.EndpointAddress).value(), OwnIncarnation,
+              drawKey(), Measures, std::random_device{}()),
       Platform(Threads.control(),
                parseAddress(settings.Common.PlatformAddress).value()),
       Plane(Threads.control(), Platform,
@@ -174,7 +175,7 @@
   LOG(INFO) << LogEvent("agent.start")
                    .with("endpoint", Settings.EndpointName)
                    .with("listen", Settings.Listen)
-                   .with("incarnation", Life.get());
+                   .with("incarnation", OwnIncarnation.get());
   Threads.run();
   return boost::outcome_v2::success();
 }
--- a/lib/Process/DirectAttempt.cpp
+++ b/lib/Process/DirectAttempt.cpp
@@ -106,7 +106,7 @@
     HttpResponse head;
     head.base() = Response->get().base();
     Head = platform::readAnswer(head, Call.Request.Label);
-    Call.Asked = Head.Asked;
+    Call.LastPushback = Head.Asked;
     if (Head.Verdict != AnswerVerdict::OtherEndpoint)
       Handlers.OnHead(Head.Asked,
                       isOwnResponse() ? std::optional(SentAt) : std::nullopt);
@@ -209,7 +209,7 @@
   Call.Status = Head.Status;
   CallerHead.body() = std::move(body);
   if (Head.Verdict == AnswerVerdict::Failed || Exchange.hasBegun()) {
-    Call.FailedAnswer = std::move(CallerHead);
+    Call.FailedResponse = std::move(CallerHead);
     co_return AttemptEnd::Failed;
   }
   Handlers.OnData();
--- a/lib/Process/DirectRole.cpp
+++ b/lib/Process/DirectRole.cpp
@@ -30,7 +30,7 @@
   Result<void> run();
 
 private:
-  boost::asio::awaitable<void> answerReady(HttpExchange &exchange);
+  boost::asio::awaitable<void> respondReady(HttpExchange &exchange);
   PlannedStop::Handlers makeStopHandlers();
   void reload(SettingsReader &reader);
 
@@ -63,7 +63,7 @@
                     [this, it = std::move(it)] { Traffic.setSnapshot(it); });
               }),
       Ready(Threads.control(), HttpLimits(),
-            [this](HttpExchange &it) { return answerReady(it); }),
+            [this](HttpExchange &it) { return respondReady(it); }),
       Exporter(Threads.control(), Measures),
       Stop(Threads.control(), {settings.StopNotice, settings.StopLimit},
            makeStopHandlers()),
@@ -80,7 +80,7 @@
   Threads.postToTraffic([this, next] { Traffic.setRetries(next.Retries); });
 }
 
-boost::asio::awaitable<void> DirectProcess::answerReady(HttpExchange &it) {
+boost::asio::awaitable<void> DirectProcess::respondReady(HttpExchange &it) {
   bool isReady = Control.isReady() && !IsStopping;
   co_await it.respond(isReady ? 200 : 503, "text/plain",
                       isReady ? "ready\n" : "not ready\n");
--- a/lib/Process/DirectTraffic.cpp
+++ b/lib/Process/DirectTraffic.cpp
@@ -239,7 +239,7 @@
     }
     if (auto *order = std::get_if<StartAttempt>(&event)) {
       co_await attempt(exchange, call, *order);
-      if (call.IsAnswered) {
+      if (call.IsResponseSent) {
         finish(call, ResultCode::Ok);
         co_return;
       }
@@ -250,10 +250,10 @@
       co_return;
     }
     finish(call, ResultCode::EndpointFailed);
-    if (exchange.hasBegun() || !call.FailedAnswer)
+    if (exchange.hasBegun() || !call.FailedResponse)
       exchange.cut();
     else
-      co_await exchange.respond(std::move(*call.FailedAnswer));
+      co_await exchange.respond(std::move(*call.FailedResponse));
     apply(Node.onCallGone(call.Request.Id, monotonicNow()));
     co_return;
   }
@@ -311,11 +311,13 @@
                      .with("endpoint", order.Endpoint.Id.get())
                      .with("end", wordOf(end))
                      .with("asked_rest_ms",
-                           call.Asked.Rest ? toMillis(*call.Asked.Rest) : -1)
+                           call.LastPushback.Rest
+                               ? toMillis(*call.LastPushback.Rest)
+                               : -1)
                      .with("number", order.Number);
   if (running.connectionEnd() == ConnectionEnd::Endpoint)
     logCut(call, order, end, monotonicNow() - began);
-  call.IsAnswered = end == AttemptEnd::Complete;
+  call.IsResponseSent = end == AttemptEnd::Complete;
   apply(Node.onAttemptEnded(id, end, monotonicNow(), running.connectionEnd()));
 }
 
@@ -437,7 +439,7 @@
                    .with("status", call.Status)
                    .with("endpoints", call.Endpoints)
                    .with("asked_rate",
-                         call.Asked.RequestsPerSecond.value_or(-1))
+                         call.LastPushback.RequestsPerSecond.value_or(-1))
                    .with("first_ms", call.FirstByte ? toMillis(*call.FirstByte -
                                                                call.Arrived)
                                                     : -1)
--- a/lib/Process/EntryTraffic.cpp
+++ b/lib/Process/EntryTraffic.cpp
@@ -84,12 +84,12 @@
   Inbox inbox(Context);
   Inboxes[id] = &inbox;
   apply(Node.onCall(std::move(request.value()), began));
-  co_await answer(exchange, inbox, id);
+  co_await writeResponse(exchange, inbox, id);
   Inboxes.erase(id);
 }
 
-asio::awaitable<void> EntryTraffic::answer(HttpExchange &exchange, Inbox &inbox,
-                                           CallId id) {
+asio::awaitable<void> EntryTraffic::writeResponse(HttpExchange &exchange,
+                                                  Inbox &inbox, CallId id) {
   TimePoint began = monotonicNow();
   bool isEvents = false;
   for (;;) {
@@ -166,7 +166,8 @@
   Platform.call(std::move(action.Request.Call), ClaimCallTimeout, onReply);
 }
 
-template <typename Answer> void EntryTraffic::perform(Answer action) {
+template <typename ResponsePart>
+void EntryTraffic::perform(ResponsePart action) {
   auto it = Inboxes.find(action.Call);
   if (it != Inboxes.end())
     it->second->post(std::move(action));
--- a/lib/Process/MetricsServer.cpp
+++ b/lib/Process/MetricsServer.cpp
@@ -11,7 +11,7 @@
 MetricsServer::MetricsServer(boost::asio::io_context &ioc,
                              const Metrics &metrics)
     : Measures(metrics), Server(ioc, HttpLimits(), [this](HttpExchange &it) {
-        return answer(it);
+        return serve(it);
       }) {}
 
 Result<void> MetricsServer::listen(const std::string &address) {
@@ -21,7 +21,7 @@
   return Server.listen(parsed.value());
 }
 
-boost::asio::awaitable<void> MetricsServer::answer(HttpExchange &exchange) {
+boost::asio::awaitable<void> MetricsServer::serve(HttpExchange &exchange) {
   bool isKnown = exchange.request().target() == "/metrics";
   std::string body = isKnown ? Measures.text() : "no such path\n";
   co_await exchange.respond(isKnown ? 200 : 404, "text/plain", std::move(body));
--- a/lib/Process/RankAgent.cpp
+++ b/lib/Process/RankAgent.cpp
@@ -72,7 +72,7 @@
       Platform(ioc, parseAddress(settings.PlatformAddress).value()),
       Rank(ioc, parseAddress(settings.EndpointAddress).value()),
       Sampler(makeSampleLimits(settings)), Switch(SwitchLimits()),
-      Demand(DemandLimits()), Lane(linkBytes(settings, MapShare)),
+      Demand(DemandLimits()), MapQueue(linkBytes(settings, MapShare)),
       Timer(ioc, [this] { tick(); }),
       LeaseTimer(ioc, [this] { updateLease(); }),
       OrderTimer(ioc, [this] { onOrderTimer(); }),
@@ -105,9 +105,9 @@
 void RankAgent::onCoordinatorMessage(const EndpointId &from,
                                      const Message &message) {
   if (const auto *order = std::get_if<MapOrder>(&message)) {
-    MapOrder whole = *order;
-    if (LastMap.complete(whole))
-      spawn(forwardOrder(from, std::move(whole)));
+    MapOrder fullOrder = *order;
+    if (LastMap.complete(fullOrder))
+      spawn(forwardOrder(from, std::move(fullOrder)));
     else
       LOG(INFO) << LogEvent("order.incomplete")
                        .with("from", from.get())
@@ -187,7 +187,8 @@
   if (!Member || !Member->Lease.isHeld(now))
     return false;
   return Settings.ChecksFences || Member->Lease.isConfirmed(now) ||
-         (Own && Consent.isFollowed(Own->Size, MemberConsent::Longest, now));
+         (OwnStatus &&
+          Consent.isFollowed(OwnStatus->Size, MemberConsent::Longest, now));
 }
 
 /// Whether this agent may begin to change the map.
@@ -195,7 +196,8 @@
   if (!canCoordinate(now))
     return false;
   return Settings.ChecksFences || Member->Lease.isConfirmed(now) ||
-         (Own && Consent.isFollowed(Own->Size, MemberConsent::Fresh, now));
+         (OwnStatus &&
+          Consent.isFollowed(OwnStatus->Size, MemberConsent::Fresh, now));
 }
 
 /// Whether this coordinator may bypass the agents of ranks on other hosts. An
@@ -214,26 +216,27 @@
   Result<RankStatus> status = co_await Rank.readStatus(Sampler.isDue(now));
   IsReading = false;
   if (!status) {
-    LOG_IF(WARNING, Own.has_value())
+    LOG_IF(WARNING, OwnStatus.has_value())
         << LogEvent("rank.lost").with("detail", status.error().Detail);
-    Own.reset();
+    OwnStatus.reset();
     co_return;
   }
-  bool isChanged = !Own || Own->Formation != status.value().Formation ||
-                   Own->IsOpen != status.value().IsOpen;
-  LOG_IF(INFO, isChanged) << LogEvent(Own ? "rank.changed" : "rank.found")
+  bool isChanged = !OwnStatus ||
+                   OwnStatus->Formation != status.value().Formation ||
+                   OwnStatus->IsOpen != status.value().IsOpen;
+  LOG_IF(INFO, isChanged) << LogEvent(OwnStatus ? "rank.changed" : "rank.found")
                                  .with("group", status.value().Group.get())
                                  .with("rank", status.value().Rank)
                                  .with("formation",
                                        status.value().Formation.get())
                                  .with("open", status.value().IsOpen)
                                  .with("map", status.value().Map.get());
-  Own = status.value();
-  if (!Own->Counts.empty())
-    Own->Picks = Sampler.take(*Own, now);
-  Own->Endpoint = Settings.EndpointAddress;
-  if (!Own->Group.get().empty())
-    onStatus(*Own);
+  OwnStatus = status.value();
+  if (!OwnStatus->Counts.empty())
+    OwnStatus->Picks = Sampler.take(*OwnStatus, now);
+  OwnStatus->Endpoint = Settings.EndpointAddress;
+  if (!OwnStatus->Group.get().empty())
+    onStatus(*OwnStatus);
 }
 
 void RankAgent::onStatus(const RankStatus &status) {
@@ -267,7 +270,7 @@
   case StallAdvice::Wait:
     return;
   case StallAdvice::Ask:
-    askCoordinator();
+    queryCoordinator();
     return;
   case StallAdvice::TakeOver:
     takeOver(status);
@@ -275,7 +278,7 @@
   }
 }
 
-void RankAgent::askCoordinator() {
+void RankAgent::queryCoordinator() {
   const std::string &address = Member->Lease.holder();
   if (address.empty() || address == Settings.linkListen())
     return;
@@ -305,7 +308,7 @@
   Switch.resign();
   Consent.clear();
   // The new group numbers its ranks independently of the previous one.
-  Reach = ReachPlanner();
+  DirectReads = ReachPlanner();
   DirectRanks.clear();
   // All agents of a group start together; a random delay lets one of them be
   // first.
@@ -335,7 +338,7 @@
     Switch.resign();
   if (!wasLeading && Switch.isLeading()) {
     CoordinatorSince = now;
-    Reach.lead(now);
+    DirectReads.lead(now);
   }
   if (wasLeading != Switch.isLeading())
     LOG(INFO) << LogEvent(wasLeading ? "lease.lost" : "lease.won")
@@ -353,8 +356,8 @@
   EndpointId coordinator(address);
   Peers.setAddresses({{coordinator, address}});
   TimePoint now = monotonicNow();
-  if (std::optional<RankStatus> changes = Filter.filter(status, address, now))
-    Peers.send(coordinator, *changes, now);
+  if (std::optional<RankStatus> update = Filter.filter(status, address, now))
+    Peers.send(coordinator, *update, now);
 }
 
 /// Handles the status of a rank in the coordinator. \p from is empty for the
@@ -366,7 +369,7 @@
   TimePoint now = monotonicNow();
   Consent.onAlive(now);
   if (Result<TcpAddress> address = parseAddress(status.Endpoint))
-    Reach.onHeard(status.Rank, address.value(), now);
+    DirectReads.onHeard(status.Rank, address.value(), now);
   Consent.onReport(status.Rank, now);
   if (from)
     Links[status.Rank] = *from;
@@ -400,7 +403,7 @@
 /// Sends queued maps as far as the link has capacity.
 void RankAgent::sendMaps() {
   TimePoint now = monotonicNow();
-  while (std::optional<SendMapOrder> next = Lane.pop(now)) {
+  while (std::optional<SendMapOrder> next = MapQueue.pop(now)) {
     if (!Switch.isPending(next->Rank, next->Order.Id))
       continue;
     Switch.onSent(next->Rank, next->Order.Id, now);
@@ -409,11 +412,11 @@
       continue;
     MapOrder order =
         Sent.shorten(next->Rank, link->second, next->Order, next->Tries);
-    Lane.onSent(sizeOf(order), now);
+    MapQueue.onSent(sizeOf(order), now);
     Server.send(link->second, order);
   }
   std::optional<TimePoint> due = Switch.nextTimer();
-  std::optional<TimePoint> capacityAt = Lane.nextTimer();
+  std::optional<TimePoint> capacityAt = MapQueue.nextTimer();
   OrderTimer.set(due && capacityAt ? std::min(*due, *capacityAt)
                                    : (due ? due : capacityAt));
 }
@@ -423,13 +426,13 @@
   bool canBypass = canBypassAgents(monotonicNow());
   auto directRank =
       canBypass ? DirectRanks.find(action.Rank) : DirectRanks.end();
-  if (Own && Own->Rank == action.Rank)
+  if (OwnStatus && OwnStatus->Rank == action.Rank)
     spawn(sendToOwnRank(action.Rank, action.Order));
   else if (std::shared_ptr<RankLink> direct =
                canBypass ? chooseHoldLink(action) : nullptr)
     spawn(sendDirectly(std::move(direct), action.Rank, action.Order));
   else if (directRank != DirectRanks.end() &&
-           !Reach.isHeard(action.Rank, monotonicNow()))
+           !DirectReads.isHeard(action.Rank, monotonicNow()))
     spawn(sendDirectly(directRank->second, action.Rank, action.Order));
   else if (std::shared_ptr<RankLink> other =
                canBypass ? chooseRetryLink(action) : nullptr)
@@ -442,11 +445,11 @@
 /// at once. A newer order to a rank replaces the one queued for this rank.
 void RankAgent::sendOrQueue(const SendMapOrder &action, LinkId link) {
   if (OrderLane::mustWait(action.Order)) {
-    Lane.push(action);
+    MapQueue.push(action);
     Switch.onQueued(action.Rank, action.Order.Id);
     return;
   }
-  Lane.drop(action.Rank);
+  MapQueue.drop(action.Rank);
   Server.send(link, action.Order);
 }
 
--- a/lib/Process/RankBypass.cpp
+++ b/lib/Process/RankBypass.cpp
@@ -24,11 +24,11 @@
 static constexpr Duration ListTimeout = std::chrono::seconds(1);
 
 void RankAgent::bypassSilentAgents(TimePoint now) {
-  if (!Own)
+  if (!OwnStatus)
     return;
-  if (Reach.takeListQuestion(Own->Size, now))
+  if (DirectReads.takeListQuestion(OwnStatus->Size, now))
     spawn(readCandidates());
-  for (const TcpAddress &it : Reach.take(Own->Size, now))
+  for (const TcpAddress &it : DirectReads.take(OwnStatus->Size, now))
     spawn(readDirectly(it));
 }
 
@@ -47,7 +47,7 @@
     if (record && record.value().Service.get() == Settings.Service)
       addresses.push_back(record.value().Address);
   }
-  Reach.setCandidates(std::move(addresses));
+  DirectReads.setCandidates(std::move(addresses));
 }
 
 /// The link that bypasses the agent of the rank at \p address.
@@ -69,11 +69,11 @@
   }
   unsigned rank = status.value().Rank;
   if (!Member || status.value().Group != Member->Group) {
-    Reach.onOther(address);
+    DirectReads.onOther(address);
     co_return;
   }
-  Reach.onFound(rank, address);
-  if (Reach.isHeard(rank, now))
+  DirectReads.onFound(rank, address);
+  if (DirectReads.isHeard(rank, now))
     co_return;
   LOG_IF(INFO, !DirectRanks.contains(rank))
       << LogEvent("rank.reached")
--- a/unittests/Process/CrashingRequestTest.cpp
+++ b/unittests/Process/CrashingRequestTest.cpp
@@ -147,12 +147,12 @@
       crash();
       co_return;
     }
-    co_await answer(*socket, text);
+    co_await respond(*socket, text);
     Open.erase(socket);
   }
 
-  static asio::awaitable<void> answer(tcp::socket &socket,
-                                      const std::string &text) {
+  static asio::awaitable<void> respond(tcp::socket &socket,
+                                       const std::string &text) {
     static constexpr std::string_view Label = "Request-Id: ";
     std::size_t at = text.find(Label) + Label.size();
     std::string out = "HTTP/1.1 200 OK\r\nReplica-Stamp: s\r\nRequest-Id: " +
--- a/unittests/Process/PushbackWorld.h
+++ b/unittests/Process/PushbackWorld.h
@@ -98,8 +98,8 @@
 class PushbackWorld {
 public:
   explicit PushbackWorld(
-      const std::vector<PushbackEndpoint::ResponseMaker> &answers) {
-    for (const PushbackEndpoint::ResponseMaker &it : answers)
+      const std::vector<PushbackEndpoint::ResponseMaker> &responses) {
+    for (const PushbackEndpoint::ResponseMaker &it : responses)
       Endpoints.emplace_back(Context, "e" + std::to_string(Endpoints.size()),
                              it);
   }
--- a/unittests/Process/RateLimitedEndpointTest.cpp
+++ b/unittests/Process/RateLimitedEndpointTest.cpp
@@ -24,8 +24,8 @@
 
 /// The largest number of arrivals in any period of length \p span that begins
 /// at or after \p from.
-static std::size_t mostWithin(const std::vector<Arrival> &arrivals,
-                              Duration span, TimePoint from) {
+static std::size_t maxArrivalsWithin(const std::vector<Arrival> &arrivals,
+                                     Duration span, TimePoint from) {
   std::size_t most = 0;
   for (auto first = arrivals.begin(); first != arrivals.end(); ++first) {
     if (first->At < from)
@@ -48,7 +48,7 @@
   world.run(seconds(7) + milliseconds(500));
   // Four requests in four seconds, and two more as two entries may each send
   // one beyond the limit.
-  CHECK(mostWithin(world.endpoint(0).arrivals(), seconds(4), from) <= 6);
+  CHECK(maxArrivalsWithin(world.endpoint(0).arrivals(), seconds(4), from) <= 6);
   CHECK(world.endpoint(0).arrivals().size() >= 4);
   CHECK(world.statusCounts().at("HTTP/1.1 200") == Entries * 350);
 }
