--- a/include/ospreyspur/Process/AgentTraffic.h
+++ b/include/ospreyspur/Process/AgentTraffic.h
@@ -25,8 +25,8 @@
 /// The traffic side of an agent process.
 class AgentTraffic {
 public:
-  /// Handle the messages that are meant for the control thread, and links that
-  /// went down; called on the traffic thread.
+  /// Callbacks for messages that are meant for the control thread and for links
+  /// that went down; called on the traffic thread.
   struct ControlHandlers {
     std::function<void(LinkId, const Message &)> OnMessage;
     std::function<void(LinkId)> OnLinkDown;
@@ -53,8 +53,8 @@
   /// Sends to one link. May be called from any thread.
   void send(LinkId to, const Message &message);
 
-  /// Requests still running, and whether entries have seen that this agent is
-  /// draining.
+  /// Number of requests still running, and whether all linked entries have
+  /// confirmed that the endpoint is leaving.
   StopProgress stopProgress() const {
     return {Node.runningCount(), Node.isLeavingSeen()};
   }
--- a/lib/Process/DirectTraffic.cpp
+++ b/lib/Process/DirectTraffic.cpp
@@ -31,7 +31,7 @@
 static constexpr Duration MaxStartWait = std::chrono::milliseconds(400);
 /// Retry-After sent by an entry that could not read them. The store is then
 /// unavailable, and callers have few attempts; they wait for up to a third of
-/// their deadline.
+/// the time to their deadline.
 static constexpr Duration UnconfiguredRetryAfter = std::chrono::seconds(2);
 
 /// The name of \p end in logs and metrics.
@@ -76,9 +76,8 @@
   return limits;
 }
 
-/// The server's timeout is a quarter longer than the idle time that callers
-/// keep connections for, so that no caller reuses a connection just as the
-/// server closes it.
+/// The server closes idle connections a quarter later than the configured idle
+/// timeout, so that no caller reuses a connection just as the server closes it.
 static HttpLimits makeHttpLimits(const CallerLimits &limits) {
   HttpLimits out;
   out.MaxHeaderBytes = limits.MaxHeaderBytes;
--- a/lib/Process/RankAgent.cpp
+++ b/lib/Process/RankAgent.cpp
@@ -200,9 +200,10 @@
           Consent.isFollowed(OwnStatus->Size, MemberConsent::Fresh, now));
 }
 
-/// Whether this coordinator may bypass the agents of ranks on other hosts. An
-/// agent refuses the orders of an earlier coordinator, but a rank that does not
-/// check fencing tokens does not.
+/// Whether this coordinator may bypass the agents of ranks on other hosts.
+/// Ranks that do not check fencing tokens accept the orders of an earlier
+/// coordinator, which their agents refuse. So for these the lease must be
+/// confirmed and an earlier coordinator must have stopped.
 bool RankAgent::canBypassAgents(TimePoint now) const {
   if (Settings.ChecksFences)
     return true;
