--- a/include/ospreyspur/Process/CrashLog.h
+++ b/include/ospreyspur/Process/CrashLog.h
@@ -1,7 +1,7 @@
 //===- CrashLog.h - log and metrics of quarantined requests -----*- C++ -*-===//
 //
-// One line and one count for each end of an endpoint that is put down to a
-// request.
+// Logs one line and increments one counter for each endpoint crash that is
+// attributed to a request.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,8 +15,9 @@
 
 namespace ospreyspur {
 
-/// Logs and counts \p notes, and sets the number of rows of \p tracker.
-void logCrashes(const std::vector<CrashNote> &notes,
+/// Logs and counts \p records, and sets the metric of the number of records in
+/// \p tracker.
+void logCrashes(const std::vector<CrashNote> &records,
                 const CrashTracker &tracker, Metrics &metrics);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Process/PushbackLog.h
+++ b/include/ospreyspur/Process/PushbackLog.h
@@ -1,6 +1,7 @@
-//===- PushbackLog.h - what endpoints ask for, in the log -------*- C++ -*-===//
+//===- PushbackLog.h - log and metrics of pushback --------------*- C++ -*-===//
 //
-// The same lines and metrics on both paths.
+// Logs and counts the rate limits, backoffs and leaving states that endpoints
+// send in their responses. Used by agents and by direct entries.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,23 +20,23 @@
 
 namespace ospreyspur {
 
-/// Logs what of \p asked cannot be read, if anything.
-void logUnreadable(const EndpointId &endpoint, const Pushback &asked,
-                   Metrics &metrics);
+/// Logs the malformed header value in \p pushback, if there is one.
+void logMalformedPushback(const EndpointId &endpoint, const Pushback &pushback,
+                          Metrics &metrics);
 
-/// Logs changes of rates. \p nameOf gives an endpoint's name; \p limited
-/// endpoints have a rate now.
-void logRates(const std::vector<RateLimitNote> &notes,
-              const std::function<EndpointId(LifeDigest)> &nameOf,
-              std::size_t limited, Metrics &metrics);
+/// Logs changes of advertised rate limits. \p nameOf returns an endpoint's
+/// name; \p limitedCount is the number of endpoints that have a rate limit now.
+void logRateLimits(const std::vector<RateLimitNote> &records,
+                   const std::function<EndpointId(LifeDigest)> &nameOf,
+                   std::size_t limitedCount, Metrics &metrics);
 
-/// Logs pauses; \p resting endpoints have one now.
-void logRests(const std::vector<RestNote> &notes,
-              const std::function<EndpointId(LifeDigest)> &nameOf,
-              std::size_t resting, Metrics &metrics);
+/// Logs backoffs; \p backoffCount is the number of endpoints in backoff now.
+void logBackoffs(const std::vector<RestNote> &records,
+                 const std::function<EndpointId(LifeDigest)> &nameOf,
+                 std::size_t backoffCount, Metrics &metrics);
 
-/// Logs lives that said that they leave.
-void logLeaving(const std::vector<LifeDigest> &lives,
+/// Logs the endpoint incarnations that have reported that they are leaving.
+void logLeaving(const std::vector<LifeDigest> &incarnations,
                 const std::function<EndpointId(LifeDigest)> &nameOf,
                 Metrics &metrics);
 
--- a/include/ospreyspur/Process/RankAgent.h
+++ b/include/ospreyspur/Process/RankAgent.h
@@ -1,8 +1,9 @@
 //===- RankAgent.h - an agent beside one rank of a group --------*- C++ -*-===//
 //
-// Reads its rank's state and hands it to the group's coordinator, which is one
-// of the group's agents: the holder of the group's lease. The coordinator plans
-// maps and brings them into force; agents pass its orders on to their ranks.
+// An agent reads its rank's state and sends it to the group's coordinator. The
+// coordinator is the agent that holds the group's lease. It plans expert maps
+// and makes the ranks switch to them; the other agents forward its orders to
+// their ranks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -38,18 +39,18 @@
 
 namespace ospreyspur {
 
-/// The agent, on one io_context's thread.
+/// The agent of one rank, on one io_context's thread.
 class RankAgent {
 public:
   RankAgent(boost::asio::io_context &ioc, const RankSettings &settings,
             Metrics &metrics, std::uint64_t seed);
 
-  /// Begins to read the rank. Errors: SettingInvalid.
+  /// Starts to read the rank. Errors: SettingInvalid.
   Result<void> start();
   void stop();
 
 private:
-  /// One group as its members see it.
+  /// This agent's membership of a group.
   struct Membership {
     Membership(const RankStatus &own, LeaseHolder lease)
         : Group(own.Group), Rank(own.Rank), Lease(std::move(lease)) {}
@@ -61,44 +62,44 @@
   };
 
   void tick();
-  void lookAtLease();
+  void updateLease();
   boost::asio::awaitable<void> readRank();
   void onStatus(const RankStatus &status);
   void join(const RankStatus &status);
   void onOrderTimer();
   void checkLease(TimePoint now);
-  bool mayLead(TimePoint now) const;
-  bool mayBegin(TimePoint now) const;
-  bool mayReach(TimePoint now) const;
+  bool canCoordinate(TimePoint now) const;
+  bool canBeginChange(TimePoint now) const;
+  bool canBypassAgents(TimePoint now) const;
   void watchForStall(const RankStatus &status);
-  void askCoordinator();
+  void queryCoordinator();
   void takeOver(const RankStatus &status);
   void onMessage(LinkId from, const Message &message);
-  void onOrderMessage(const EndpointId &from, const Message &message);
+  void onCoordinatorMessage(const EndpointId &from, const Message &message);
   void report(const RankStatus &status);
   void onReply(LinkId from, const MapOrderReply &reply);
   void takeStatus(const RankStatus &status, std::optional<LinkId> from);
-  void reachSilentRanks(TimePoint now);
+  void bypassSilentAgents(TimePoint now);
   boost::asio::awaitable<void> readCandidates();
-  boost::asio::awaitable<void> readFar(TcpAddress address);
-  std::shared_ptr<RankLink> farLink(const TcpAddress &address);
-  boost::asio::awaitable<void> giveFar(std::shared_ptr<RankLink> link,
-                                       unsigned rank, MapOrder order);
+  boost::asio::awaitable<void> readDirectly(TcpAddress address);
+  std::shared_ptr<RankLink> directLink(const TcpAddress &address);
+  boost::asio::awaitable<void> sendDirectly(std::shared_ptr<RankLink> link,
+                                            unsigned rank, MapOrder order);
   void apply(const SwitchActions &actions);
   void perform(const SendMapOrder &action);
   void sendMaps();
   void sendOrQueue(const SendMapOrder &action, LinkId link);
-  std::shared_ptr<RankLink> holdLink(const SendMapOrder &action);
-  std::shared_ptr<RankLink> repeatLink(const SendMapOrder &action);
+  std::shared_ptr<RankLink> chooseHoldLink(const SendMapOrder &action);
+  std::shared_ptr<RankLink> chooseRetryLink(const SendMapOrder &action);
   void considerPlan();
   PlacementPlan makePlan(bool isUrgent) const;
-  void readFigures();
+  void readEngineSettings();
   void logPhase();
   void logGroup();
-  bool fitsFigures() const;
+  bool matchesEngineSettings() const;
   void spawn(boost::asio::awaitable<void> task);
-  boost::asio::awaitable<void> giveOwn(unsigned rank, MapOrder order);
-  boost::asio::awaitable<void> giveFor(EndpointId from, MapOrder order);
+  boost::asio::awaitable<void> sendToOwnRank(unsigned rank, MapOrder order);
+  boost::asio::awaitable<void> forwardOrder(EndpointId from, MapOrder order);
 
   boost::asio::io_context &Context;
   const RankSettings &Settings;
@@ -106,7 +107,7 @@
   std::mt19937_64 Random;
   PlatformClient Platform;
   RankLink Rank;
-  std::optional<RankStatus> Own;
+  std::optional<RankStatus> OwnStatus;
   std::unique_ptr<Membership> Member;
   StallWatch Stall;
   CoordinatorWatch Coordinator;
@@ -114,30 +115,31 @@
   StatusFilter Filter;
   MemberConsent Consent;
   OrderGate Gate;
-  /// When this agent came to lead.
-  TimePoint LedSince;
+  /// When this agent became the coordinator.
+  TimePoint CoordinatorSince;
   MapSwitch Switch;
   SwitchPhase LoggedPhase = SwitchPhase::Idle;
   DemandMeter Demand;
-  /// The service's engine, once read.
-  std::optional<EngineFigures> Figures;
-  /// When the group was last heard whole while leading.
+  /// The parameters of the service's engine, once read.
+  std::optional<EngineFigures> EngineSettings;
+  /// When this coordinator last had current reports of all ranks.
   TimePoint CompleteAt;
-  TimePoint NextFigures;
+  TimePoint NextSettingsRead;
   TimePoint NextPlan;
-  TimePoint NextGroupLine;
+  TimePoint NextGroupLog;
   /// The link on which each rank's agent reports.
   std::map<unsigned, LinkId> Links;
-  /// What the group's agents know of maps, and what this one knows.
+  /// The maps that were sent to the group's agents.
   SentMaps Sent;
-  OrderLane Lane;
-  ToldMap Told;
-  /// Direct ways to endpoints, for ranks whose agents are silent.
-  std::map<TcpAddress, std::shared_ptr<RankLink>> FarLinks;
-  std::map<unsigned, std::shared_ptr<RankLink>> FarRanks;
-  /// Ranks to which a repeat is under way past their agent.
-  std::set<unsigned> Repeating;
-  ReachPlanner Reach;
+  OrderLane MapQueue;
+  /// The map that this agent last received from a coordinator.
+  ToldMap LastMap;
+  /// Direct links to endpoints, for ranks whose agents send no reports.
+  std::map<TcpAddress, std::shared_ptr<RankLink>> DirectLinks;
+  std::map<unsigned, std::shared_ptr<RankLink>> DirectRanks;
+  /// Ranks to which a retry is in flight that bypasses their agent.
+  std::set<unsigned> RetriesInFlight;
+  ReachPlanner DirectReads;
   NodeTimer Timer;
   NodeTimer LeaseTimer;
   NodeTimer OrderTimer;
--- a/lib/Process/AgentRole.cpp
+++ b/lib/Process/AgentRole.cpp
@@ -1,6 +1,6 @@
 //===- AgentRole.cpp - the agent process ----------------------------------===//
 //
-// Puts the control thread and the traffic thread of an agent together.
+// Creates and connects the control thread and the traffic thread of an agent.
 //
 //===----------------------------------------------------------------------===//
 
@@ -48,12 +48,12 @@
 }
 
 namespace {
-/// All parts of an agent.
+/// All components of an agent process.
 class AgentProcess {
 public:
   explicit AgentProcess(const AgentSettings &settings);
 
-  /// Runs until a planned stop has ended. Errors: SettingInvalid.
+  /// Runs until a graceful shutdown is complete. Errors: SettingInvalid.
   Result<void> run();
 
 private:
@@ -65,7 +65,7 @@
 
   const AgentSettings &Settings;
   EndpointId Self;
-  Incarnation Life;
+  Incarnation OwnIncarnation;
   ProcessThreads Threads;
   Metrics Measures;
   AgentTraffic Traffic;
@@ -79,10 +79,11 @@
 } // namespace
 
 AgentProcess::AgentProcess(const AgentSettings &settings)
-    : Settings(settings), Self(settings.EndpointName), Life(drawIncarnation()),
+    : Settings(settings), Self(settings.EndpointName),
+      OwnIncarnation(drawIncarnation()),
       Traffic(Threads.traffic(), settings,
-              parseAddress(settings.EndpointAddress).value(), Life, drawKey(),
-              Measures, std::random_device{}()),
+              parseAddress(settings.EndpointAddress).value(), OwnIncarnation,
+              drawKey(), Measures, std::random_device{}()),
       Platform(Threads.control(),
                parseAddress(settings.Common.PlatformAddress).value()),
       Plane(Threads.control(), Platform,
@@ -130,9 +131,9 @@
     Admin.setStopping();
     Threads.postToTraffic([this] { Traffic.setLeaving(true); });
   };
-  // The gate is closed since the announcement.
+  // The agent has taken no new requests since the announcement.
   handlers.Close = [] {};
-  handlers.AskProgress = [this](std::function<void(StopProgress)> done) {
+  handlers.QueryProgress = [this](std::function<void(StopProgress)> done) {
     Threads.postToTraffic([this, done = std::move(done)] {
       StopProgress progress = Traffic.stopProgress();
       Threads.postToControl([done, progress] { done(progress); });
@@ -174,7 +175,7 @@
   LOG(INFO) << LogEvent("agent.start")
                    .with("endpoint", Settings.EndpointName)
                    .with("listen", Settings.Listen)
-                   .with("incarnation", Life.get());
+                   .with("incarnation", OwnIncarnation.get());
   Threads.run();
   return boost::outcome_v2::success();
 }
--- a/lib/Process/DirectRole.cpp
+++ b/lib/Process/DirectRole.cpp
@@ -1,6 +1,7 @@
 //===- DirectRole.cpp - the process of the direct path --------------------===//
 //
-// Puts the control thread and the traffic thread of a direct entry together.
+// Creates and connects the control thread and the traffic thread of a direct
+// entry.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,16 +21,16 @@
 using namespace ospreyspur;
 
 namespace {
-/// All parts of a direct entry.
+/// All components of a direct entry process.
 class DirectProcess {
 public:
   explicit DirectProcess(const DirectSettings &settings);
 
-  /// Runs until a planned stop has ended. Errors: SettingInvalid.
+  /// Runs until a graceful shutdown is complete. Errors: SettingInvalid.
   Result<void> run();
 
 private:
-  boost::asio::awaitable<void> answerReady(HttpExchange &exchange);
+  boost::asio::awaitable<void> respondReady(HttpExchange &exchange);
   PlannedStop::Handlers makeStopHandlers();
   void reload(SettingsReader &reader);
 
@@ -39,7 +40,7 @@
   DirectTraffic Traffic;
   DirectControl Control;
   HttpServer Ready;
-  MetricsServer Figures;
+  MetricsServer Exporter;
   PlannedStop Stop;
   SettingsWatch Watch;
   bool IsStopping = false;
@@ -62,14 +63,15 @@
                     [this, it = std::move(it)] { Traffic.setSnapshot(it); });
               }),
       Ready(Threads.control(), HttpLimits(),
-            [this](HttpExchange &it) { return answerReady(it); }),
-      Figures(Threads.control(), Measures),
+            [this](HttpExchange &it) { return respondReady(it); }),
+      Exporter(Threads.control(), Measures),
       Stop(Threads.control(), {settings.StopNotice, settings.StopLimit},
            makeStopHandlers()),
       Watch(Threads.control(), settings.File,
             [this](SettingsReader &reader) { reload(reader); }) {}
 
-/// Addresses stay until the next start; bounds change at once.
+/// Applies changed retry limits at once; changed addresses take effect at the
+/// next start.
 void DirectProcess::reload(SettingsReader &reader) {
   DirectSettings next = readDirectSettings(reader);
   reader.finish();
@@ -78,7 +80,7 @@
   Threads.postToTraffic([this, next] { Traffic.setRetries(next.Retries); });
 }
 
-boost::asio::awaitable<void> DirectProcess::answerReady(HttpExchange &it) {
+boost::asio::awaitable<void> DirectProcess::respondReady(HttpExchange &it) {
   bool isReady = Control.isReady() && !IsStopping;
   co_await it.respond(isReady ? 200 : 503, "text/plain",
                       isReady ? "ready\n" : "not ready\n");
@@ -93,8 +95,9 @@
   handlers.Close = [this] {
     Threads.postToTraffic([this] { Traffic.stopAccepting(); });
   };
-  // The platform's balancer confirms nothing: the whole notice is waited out.
-  handlers.AskProgress = [this](std::function<void(StopProgress)> done) {
+  // The platform's load balancer does not confirm that it has seen the stop, so
+  // IsConfirmed stays false and the whole notice period is waited out.
+  handlers.QueryProgress = [this](std::function<void(StopProgress)> done) {
     Threads.postToTraffic([this, done = std::move(done)] {
       StopProgress progress{Traffic.busyCount(), false};
       Threads.postToControl([done, progress] { done(progress); });
@@ -116,7 +119,7 @@
     if (!started)
       return started;
   if (!Settings.MetricsListen.empty()) {
-    Result<void> listening = Figures.listen(Settings.MetricsListen);
+    Result<void> listening = Exporter.listen(Settings.MetricsListen);
     if (!listening)
       return listening;
   }
--- a/lib/Process/DirectTraffic.cpp
+++ b/lib/Process/DirectTraffic.cpp
@@ -21,19 +21,20 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-static constexpr Duration PoolLook = std::chrono::milliseconds(500);
-/// When to come back after an entry that stops: at once, as another entry takes
-/// the next try.
-static constexpr Duration ElsewhereRetryAfter = std::chrono::milliseconds(20);
-/// How long callers of an entry that starts wait for it to learn the
-/// configuration and the endpoints; with a store that answers it takes some 30
-/// ms.
-static constexpr Duration StartWait = std::chrono::milliseconds(400);
-/// When to come back after an entry that could not learn them: the store is
-/// out, and callers have few tries. They wait for up to a third of their time.
-static constexpr Duration UnknownRetryAfter = std::chrono::seconds(2);
+static constexpr Duration PoolSweepInterval = std::chrono::milliseconds(500);
+/// Retry-After sent by an entry that is stopping: short, as another entry takes
+/// the next attempt.
+static constexpr Duration StoppingRetryAfter = std::chrono::milliseconds(20);
+/// How long callers of a starting entry wait until the entry has read the
+/// configuration and the endpoints, which takes some 30 ms if the store
+/// responds.
+static constexpr Duration MaxStartWait = std::chrono::milliseconds(400);
+/// Retry-After sent by an entry that could not read them. The store is then
+/// unavailable, and callers have few attempts; they wait for up to a third of
+/// the time to their deadline.
+static constexpr Duration UnconfiguredRetryAfter = std::chrono::seconds(2);
 
-/// The word for \p end in metrics.
+/// The name of \p end in logs and metrics.
 static const char *wordOf(AttemptEnd end) {
   switch (end) {
   case AttemptEnd::Complete:
@@ -56,7 +57,7 @@
   return "";
 }
 
-/// The word for \p reason in the log.
+/// The name of \p reason in the log.
 static const char *wordOf(MoveReason reason) {
   switch (reason) {
   case MoveReason::TooSlow:
@@ -75,8 +76,8 @@
   return limits;
 }
 
-/// Connections may rest for the whole idle time and somewhat longer, so that a
-/// caller never meets one that is just being closed.
+/// The server closes idle connections a quarter later than the configured idle
+/// timeout, so that no caller reuses a connection just as the server closes it.
 static HttpLimits makeHttpLimits(const CallerLimits &limits) {
   HttpLimits out;
   out.MaxHeaderBytes = limits.MaxHeaderBytes;
@@ -89,7 +90,7 @@
                              const DirectSettings &settings, Metrics &metrics,
                              std::uint64_t seed, OnQuarantine onQuarantine)
     : Context(ioc), Settings(settings), Measures(metrics),
-      TellQuarantine(std::move(onQuarantine)),
+      ReportQuarantine(std::move(onQuarantine)),
       Node(DataCentreId(settings.DataCentre), makeLimits(settings), seed,
            settings.Name),
       Timer(ioc, [this] { apply(Node.onTimer(monotonicNow())); }), Pool(ioc),
@@ -118,7 +119,7 @@
   Result<TcpAddress> address = parseAddress(Settings.Listen);
   if (!address)
     return address.error();
-  StartTimer.expires_after(StartWait);
+  StartTimer.expires_after(MaxStartWait);
   StartTimer.async_wait([this](boost::system::error_code ec) {
     if (!ec)
       beginAccepting();
@@ -132,8 +133,8 @@
     return;
   StartTimer.cancel();
   Result<void> accepting = Server.beginAccepting();
-  LOG_IF(FATAL, !accepting)
-      << LogEvent("direct.deaf").with("detail", accepting.error().Detail);
+  LOG_IF(FATAL, !accepting) << LogEvent("direct.cannot_listen")
+                                   .with("detail", accepting.error().Detail);
 }
 
 void DirectTraffic::setSnapshot(
@@ -194,12 +195,12 @@
   return out;
 }
 
-/// When a caller refused with \p code should come back.
+/// The Retry-After for a caller refused with \p code; zero for none.
 static Duration retryAfter(ResultCode code) {
   if (describe(code).Kind != Outcome::NotRun)
     return Duration::zero();
-  return code == ResultCode::ConfigUnknown ? UnknownRetryAfter
-                                           : ElsewhereRetryAfter;
+  return code == ResultCode::ConfigUnknown ? UnconfiguredRetryAfter
+                                           : StoppingRetryAfter;
 }
 
 asio::awaitable<void> DirectTraffic::handle(HttpExchange &exchange) {
@@ -237,7 +238,7 @@
     }
     if (auto *order = std::get_if<StartAttempt>(&event)) {
       co_await attempt(exchange, call, *order);
-      if (call.IsAnswered) {
+      if (call.IsResponseSent) {
         finish(call, ResultCode::Ok);
         co_return;
       }
@@ -248,10 +249,10 @@
       co_return;
     }
     finish(call, ResultCode::EndpointFailed);
-    if (exchange.hasBegun() || !call.FailedAnswer)
+    if (exchange.hasBegun() || !call.FailedResponse)
       exchange.cut();
     else
-      co_await exchange.respond(std::move(*call.FailedAnswer));
+      co_await exchange.respond(std::move(*call.FailedResponse));
     apply(Node.onCallGone(call.Request.Id, monotonicNow()));
     co_return;
   }
@@ -282,20 +283,21 @@
       apply(Node.onFirstByte(id, now));
       return;
     }
-    // Most events change nothing that other entries need to know.
+    // apply() schedules a load report, so it is skipped without actions: most
+    // events change nothing that other entries need to know.
     DirectActions actions = Node.onEvents(id, now);
     if (!actions.empty())
       apply(std::move(actions));
   };
-  auto onSilence = [this, id] { apply(Node.onSilent(id, monotonicNow())); };
+  auto onIdle = [this, id] { apply(Node.onSilent(id, monotonicNow())); };
   auto maySend = [this, id] { return Node.maySend(id, monotonicNow()); };
-  auto onHead = [this, &order](const Pushback &asked,
+  auto onHead = [this, &order](const Pushback &pushback,
                                std::optional<TimePoint> sentAt) {
-    takePushback(order.Endpoint.Id, asked, sentAt);
+    takePushback(order.Endpoint.Id, pushback, sentAt);
   };
   TimePoint began = monotonicNow();
   DirectAttempt running(Pool, exchange, call, order,
-                        {maySend, onHead, onData, onSilence});
+                        {maySend, onHead, onData, onIdle});
   AttemptEnd end = co_await running.run();
   Measures.count("attempts_total{end=\"" + std::string(wordOf(end)) + "\"}");
   Measures.set("requests_waiting", double(Node.waitingCount()));
@@ -308,16 +310,18 @@
                      .with("endpoint", order.Endpoint.Id.get())
                      .with("end", wordOf(end))
                      .with("asked_rest_ms",
-                           call.Asked.Rest ? toMillis(*call.Asked.Rest) : -1)
+                           call.LastPushback.Rest
+                               ? toMillis(*call.LastPushback.Rest)
+                               : -1)
                      .with("number", order.Number);
   if (running.connectionEnd() == ConnectionEnd::Endpoint)
     logCut(call, order, end, monotonicNow() - began);
-  call.IsAnswered = end == AttemptEnd::Complete;
+  call.IsResponseSent = end == AttemptEnd::Complete;
   apply(Node.onAttemptEnded(id, end, monotonicNow(), running.connectionEnd()));
 }
 
-/// One line for each attempt whose endpoint closed the connection before its
-/// answer was whole.
+/// Logs one line for each attempt whose endpoint closed the connection before
+/// its response was complete.
 void DirectTraffic::logCut(const DirectCall &call, const StartAttempt &order,
                            AttemptEnd end, Duration ran) {
   LOG(INFO) << LogEvent("attempt.cut")
@@ -338,31 +342,32 @@
   Timer.set(Node.nextTimer());
 }
 
-/// One line for each request that begins to wait, with what each endpoint of
-/// its service lacked.
+/// Logs one line for each request that begins to wait, with the number of
+/// endpoints of its service for each obstacle.
 void DirectTraffic::logWaits() {
-  for (const WaitNote &note : Node.takeWaitNotes()) {
-    auto it = Calls.find(note.Call);
+  for (const WaitNote &record : Node.takeWaitNotes()) {
+    auto it = Calls.find(record.Call);
     if (it == Calls.end())
       continue;
     LogEvent line("request.waits");
     line.with("id", it->second->Request.Label)
-        .with("sent", note.Arrivals)
-        .with("attempts_left", note.AttemptsLeft)
-        .with("silent", note.IsSilent)
-        .with("may_repeat", note.HasRepeat)
-        .with("entries", note.Entries);
+        .with("sent", record.Arrivals)
+        .with("attempts_left", record.AttemptsLeft)
+        .with("silent", record.IsSilent)
+        .with("may_repeat", record.HasRepeat)
+        .with("entries", record.Entries);
     for (std::size_t i = 0; i < ObstacleWords.size(); ++i)
-      line.with(ObstacleWords[i], note.Endpoints[i]);
+      line.with(ObstacleWords[i], record.Endpoints[i]);
     LOG(INFO) << line;
   }
 }
 
 void DirectTraffic::perform(AskEndpoint &action) {
-  asio::co_spawn(Context, askEndpoint(action.Endpoint), asio::detached);
+  asio::co_spawn(Context, queryStatus(action.Endpoint), asio::detached);
 }
 
-/// The attempt ends as broken off or lost and the call goes on elsewhere.
+/// Closes the attempt's connection. The attempt then ends as BrokeOff or Lost,
+/// and the request migrates to another endpoint.
 void DirectTraffic::perform(StopAttempt &action) {
   auto it = Calls.find(action.Call);
   if (it == Calls.end() || !it->second->Connection)
@@ -377,11 +382,12 @@
   it->second->Connection->Stream.close();
 }
 
-asio::awaitable<void> DirectTraffic::askEndpoint(EndpointRecord endpoint) {
+asio::awaitable<void> DirectTraffic::queryStatus(EndpointRecord endpoint) {
   RankLink link(Context, endpoint.Address);
   Result<RankStatus> status = co_await link.readReport();
   std::optional<EndpointCondition> condition;
-  // A later life says nothing of this one, which has ended.
+  // A later incarnation's report does not apply to the one that was queried,
+  // which has exited.
   bool isLater = status && status.value().Life.get() != endpoint.Life.get() &&
                  endpoint.Life.get() != 0;
   if (status && !isLater) {
@@ -401,7 +407,8 @@
   apply(Node.onTold(endpoint.Id, condition, monotonicNow()));
 }
 
-/// Closing the connection to the endpoint tells it that nobody waits.
+/// Closes the connection to the endpoint, so that the endpoint can cancel the
+/// request.
 void DirectTraffic::onCallerGone(CallId id) {
   auto it = Calls.find(id);
   if (it == Calls.end())
@@ -431,7 +438,7 @@
                    .with("status", call.Status)
                    .with("endpoints", call.Endpoints)
                    .with("asked_rate",
-                         call.Asked.RequestsPerSecond.value_or(-1))
+                         call.LastPushback.RequestsPerSecond.value_or(-1))
                    .with("first_ms", call.FirstByte ? toMillis(*call.FirstByte -
                                                                call.Arrived)
                                                     : -1)
@@ -440,7 +447,7 @@
 
 void DirectTraffic::closeUnused() {
   Pool.closeUnused(monotonicNow());
-  PoolTimer.expires_after(PoolLook);
+  PoolTimer.expires_after(PoolSweepInterval);
   PoolTimer.async_wait([this](boost::system::error_code ec) {
     if (!ec)
       closeUnused();
--- a/lib/Process/EntryTraffic.cpp
+++ b/lib/Process/EntryTraffic.cpp
@@ -1,6 +1,7 @@
 //===- EntryTraffic.cpp - the entry's traffic thread ----------------------===//
 //
-// Bytes become inputs of the node, its actions become bytes.
+// Passes requests and received messages to the EntryNode, and performs the
+// node's actions.
 //
 //===----------------------------------------------------------------------===//
 
@@ -83,12 +84,12 @@
   Inbox inbox(Context);
   Inboxes[id] = &inbox;
   apply(Node.onCall(std::move(request.value()), began));
-  co_await answer(exchange, inbox, id);
+  co_await writeResponse(exchange, inbox, id);
   Inboxes.erase(id);
 }
 
-asio::awaitable<void> EntryTraffic::answer(HttpExchange &exchange, Inbox &inbox,
-                                           CallId id) {
+asio::awaitable<void> EntryTraffic::writeResponse(HttpExchange &exchange,
+                                                  Inbox &inbox, CallId id) {
   TimePoint began = monotonicNow();
   bool isEvents = false;
   for (;;) {
@@ -115,7 +116,8 @@
             makeErrorResponse(error->Code, error->RetryAfter));
         co_return;
       }
-      // Say why in the stream if its form allows, then close without an end.
+      // Report the error as an event if the response is an event stream, then
+      // close the connection without ending the response.
       if (isEvents)
         co_await exchange.writeStream(
             "event: error\ndata: " + formatErrorBody(error->Code) + "\n\n");
@@ -137,14 +139,14 @@
   Timer.set(Node.nextTimer());
 }
 
-/// Logs what was put down to requests, and keeps the store's quarantine equal
-/// to the node's.
+/// Logs the crashes that are attributed to requests, and writes changes of the
+/// node's quarantine to the store.
 void EntryTraffic::reportCrashes() {
-  std::vector<CrashNote> notes = Node.takeCrashNotes();
-  if (!notes.empty())
-    logCrashes(notes, Node.crashes(), Measures);
+  std::vector<CrashNote> records = Node.takeCrashNotes();
+  if (!records.empty())
+    logCrashes(records, Node.crashes(), Measures);
   std::uint64_t change = Node.crashes().quarantineChanges();
-  if (std::exchange(ToldChange, change) != change)
+  if (std::exchange(LastReportedChange, change) != change)
     Quarantine.setOwn(Node.crashes().quarantined(), Node.crashes().cleared());
 }
 
@@ -164,7 +166,8 @@
   Platform.call(std::move(action.Request.Call), ClaimCallTimeout, onReply);
 }
 
-template <typename Answer> void EntryTraffic::perform(Answer action) {
+template <typename ResponsePart>
+void EntryTraffic::perform(ResponsePart action) {
   auto it = Inboxes.find(action.Call);
   if (it != Inboxes.end())
     it->second->post(std::move(action));
--- a/lib/Process/RankAgent.cpp
+++ b/lib/Process/RankAgent.cpp
@@ -16,27 +16,32 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// Between two looks at the rank, about a step; asking it on its own host is
-/// free.
-static constexpr Duration ReadEvery = std::chrono::milliseconds(60);
-/// What a group's samples of demand may take of its coordinator's link. The
-/// link also carries the group's orders, which must not wait.
+/// Time between two status queries to the rank; about one step. Queries on the
+/// same host cost nothing.
+static constexpr Duration ReadInterval = std::chrono::milliseconds(60);
+/// Share of the coordinator's link that a group's demand samples may use. The
+/// link also carries the group's orders, which must not be delayed.
 static constexpr double SampleShare = 0.2;
-/// The same for a group so large that its samples would come too rarely. On the
-/// users' large deployment a rank is then sampled each 0.8 s instead of 2.
+/// The same for a group so large that samples would otherwise be too rare. In
+/// the platform's large deployment a rank is then sampled every 0.8 s instead
+/// of every 2 s.
 static constexpr double LargestSampleShare = 0.5;
-/// What maps may take of it on the way out; samples come in.
+/// Share of the coordinator's link that maps may use. Maps are outgoing traffic
+/// and samples incoming, so the shares do not add up.
 static constexpr double MapShare = 0.4;
-/// Over which the agents of a group that start together spread their first look
-/// at its lease; a look takes some 5 ms.
+/// Period over which the agents of a group that start together spread their
+/// first read of the group's lease; a read takes some 5 ms.
 static constexpr Duration JoinSpread = std::chrono::milliseconds(100);
 static constexpr Duration CallTimeout = std::chrono::seconds(1);
-/// How long a coordinator leads a group of which it does not hear every rank.
+/// How long a coordinator acts without current reports of all ranks before it
+/// verifies its lease at the store.
 static constexpr Duration MaxIncomplete = std::chrono::milliseconds(2000);
-/// How long a coordinator that took over has before another one tries.
+/// How long an agent that tried to take a stalled group over lets the new
+/// coordinator recover the group before the agent may try again.
 static constexpr Duration TakeoverTime = std::chrono::milliseconds(1500);
 
-/// Bytes a second in \p share of this host's link; 0 if its rate is not known.
+/// Bytes per second in \p share of this host's link; 0 if the link's bandwidth
+/// is not known.
 static double linkBytes(const RankSettings &settings, double share) {
   constexpr double BytesPerMegabit = 1e6 / 8;
   return settings.LinkMbps * BytesPerMegabit * share;
@@ -67,9 +72,9 @@
       Platform(ioc, parseAddress(settings.PlatformAddress).value()),
       Rank(ioc, parseAddress(settings.EndpointAddress).value()),
       Sampler(makeSampleLimits(settings)), Switch(SwitchLimits()),
-      Demand(DemandLimits()), Lane(linkBytes(settings, MapShare)),
+      Demand(DemandLimits()), MapQueue(linkBytes(settings, MapShare)),
       Timer(ioc, [this] { tick(); }),
-      LeaseTimer(ioc, [this] { lookAtLease(); }),
+      LeaseTimer(ioc, [this] { updateLease(); }),
       OrderTimer(ioc, [this] { onOrderTimer(); }),
       Server({[this](LinkId from, const std::vector<Message> &messages) {
                 asio::post(Context, [this, from, messages] {
@@ -79,11 +84,11 @@
               },
               [](LinkId) {}}),
       Peers(ioc, {[this](const EndpointId &from, const Message &message) {
-                    onOrderMessage(from, message);
+                    onCoordinatorMessage(from, message);
                   },
                   [this](const EndpointId &) { Filter.reset(); }}) {}
 
-/// What members tell.
+/// Handles messages from the agents that report to this one.
 void RankAgent::onMessage(LinkId from, const Message &message) {
   if (const auto *status = std::get_if<RankStatus>(&message))
     takeStatus(*status, from);
@@ -96,12 +101,13 @@
   }
 }
 
-/// What the coordinator tells.
-void RankAgent::onOrderMessage(const EndpointId &from, const Message &message) {
+/// Handles messages from the coordinator.
+void RankAgent::onCoordinatorMessage(const EndpointId &from,
+                                     const Message &message) {
   if (const auto *order = std::get_if<MapOrder>(&message)) {
-    MapOrder whole = *order;
-    if (Told.complete(whole))
-      spawn(giveFor(from, std::move(whole)));
+    MapOrder fullOrder = *order;
+    if (LastMap.complete(fullOrder))
+      spawn(forwardOrder(from, std::move(fullOrder)));
     else
       LOG(INFO) << LogEvent("order.incomplete")
                        .with("from", from.get())
@@ -133,7 +139,7 @@
 
 void RankAgent::tick() {
   TimePoint now = monotonicNow();
-  Timer.set(now + ReadEvery);
+  Timer.set(now + ReadInterval);
   Consent.onAlive(now);
   checkLease(now);
   if (!IsReading)
@@ -149,15 +155,18 @@
   apply(Switch.onTimer(now));
 }
 
-/// Ranks that no longer report may have found another coordinator.
+/// Checks whether this agent still holds the group's lease. A coordinator that
+/// lacks current reports of some rank for MaxIncomplete, or whose orders were
+/// fenced, doubts its lease: the missing ranks may report to another
+/// coordinator.
 void RankAgent::checkLease(TimePoint now) {
   if (Member && Member->Lease.isConfirmed(now))
     Consent.onConfirmed();
-  bool isLeading = mayLead(now);
+  bool isLeading = canCoordinate(now);
   if (Switch.isLeading() && !isLeading)
-    lookAtLease();
-  if (isLeading && mayReach(now))
-    reachSilentRanks(now);
+    updateLease();
+  if (isLeading && canBypassAgents(now))
+    bypassSilentAgents(now);
   bool isFenced = isLeading && !Switch.isLeading();
   if (!isLeading || (Switch.isComplete(now) && !isFenced)) {
     CompleteAt = now;
@@ -167,34 +176,39 @@
     return;
   CompleteAt = now;
   Member->Lease.doubt(now);
-  lookAtLease();
+  updateLease();
 }
 
-/// Whether this agent is its group's coordinator. In an outage of the store the
-/// lease tells only where a later holder's orders fence those of this one;
-/// elsewhere all members must still follow.
-bool RankAgent::mayLead(TimePoint now) const {
+/// Whether this agent is its group's coordinator. While the store is
+/// unavailable, a held lease is sufficient only if the ranks check fencing
+/// tokens, as a later holder's orders then fence those of this one. Otherwise
+/// all members must still follow this agent.
+bool RankAgent::canCoordinate(TimePoint now) const {
   if (!Member || !Member->Lease.isHeld(now))
     return false;
   return Settings.ChecksFences || Member->Lease.isConfirmed(now) ||
-         (Own && Consent.isFollowed(Own->Size, MemberConsent::Longest, now));
+         (OwnStatus &&
+          Consent.isFollowed(OwnStatus->Size, MemberConsent::Longest, now));
 }
 
-/// Whether to begin a change.
-bool RankAgent::mayBegin(TimePoint now) const {
-  if (!mayLead(now))
+/// Whether this agent may begin to change the map.
+bool RankAgent::canBeginChange(TimePoint now) const {
+  if (!canCoordinate(now))
     return false;
   return Settings.ChecksFences || Member->Lease.isConfirmed(now) ||
-         (Own && Consent.isFollowed(Own->Size, MemberConsent::Fresh, now));
+         (OwnStatus &&
+          Consent.isFollowed(OwnStatus->Size, MemberConsent::Fresh, now));
 }
 
-/// Whether ranks on other hosts may be ordered past their agents, which would
-/// refuse an earlier coordinator's orders where the rank does not.
-bool RankAgent::mayReach(TimePoint now) const {
+/// Whether this coordinator may bypass the agents of ranks on other hosts.
+/// Ranks that do not check fencing tokens accept the orders of an earlier
+/// coordinator, which their agents refuse. So for these the lease must be
+/// confirmed and an earlier coordinator must have stopped.
+bool RankAgent::canBypassAgents(TimePoint now) const {
   if (Settings.ChecksFences)
     return true;
   return Member && Member->Lease.isConfirmed(now) &&
-         now - LedSince >= MemberConsent::SuccessorWait;
+         now - CoordinatorSince >= MemberConsent::SuccessorWait;
 }
 
 asio::awaitable<void> RankAgent::readRank() {
@@ -203,25 +217,27 @@
   Result<RankStatus> status = co_await Rank.readStatus(Sampler.isDue(now));
   IsReading = false;
   if (!status) {
-    LOG_IF(WARNING, Own.has_value())
+    LOG_IF(WARNING, OwnStatus.has_value())
         << LogEvent("rank.lost").with("detail", status.error().Detail);
-    Own.reset();
+    OwnStatus.reset();
     co_return;
   }
-  bool isNews = !Own || Own->Formation != status.value().Formation ||
-                Own->IsOpen != status.value().IsOpen;
-  LOG_IF(INFO, isNews) << LogEvent(Own ? "rank.changed" : "rank.found")
-                              .with("group", status.value().Group.get())
-                              .with("rank", status.value().Rank)
-                              .with("formation", status.value().Formation.get())
-                              .with("open", status.value().IsOpen)
-                              .with("map", status.value().Map.get());
-  Own = status.value();
-  if (!Own->Counts.empty())
-    Own->Picks = Sampler.take(*Own, now);
-  Own->Endpoint = Settings.EndpointAddress;
-  if (!Own->Group.get().empty())
-    onStatus(*Own);
+  bool isChanged = !OwnStatus ||
+                   OwnStatus->Formation != status.value().Formation ||
+                   OwnStatus->IsOpen != status.value().IsOpen;
+  LOG_IF(INFO, isChanged) << LogEvent(OwnStatus ? "rank.changed" : "rank.found")
+                                 .with("group", status.value().Group.get())
+                                 .with("rank", status.value().Rank)
+                                 .with("formation",
+                                       status.value().Formation.get())
+                                 .with("open", status.value().IsOpen)
+                                 .with("map", status.value().Map.get());
+  OwnStatus = status.value();
+  if (!OwnStatus->Counts.empty())
+    OwnStatus->Picks = Sampler.take(*OwnStatus, now);
+  OwnStatus->Endpoint = Settings.EndpointAddress;
+  if (!OwnStatus->Group.get().empty())
+    onStatus(*OwnStatus);
 }
 
 void RankAgent::onStatus(const RankStatus &status) {
@@ -230,19 +246,19 @@
   if (!isMember)
     join(status);
   TimePoint now = monotonicNow();
-  if (mayLead(now)) {
+  if (canCoordinate(now)) {
     takeStatus(status, std::nullopt);
     return;
   }
-  // Whoever holds a lease, confirmed or not, follows nobody.
+  // An agent that holds the lease, confirmed or not, follows no coordinator.
   if (Member->Lease.isHeld(now))
     return;
   report(status);
   watchForStall(status);
 }
 
-/// Takes the lease from a coordinator whose group stands still: it may have
-/// died or frozen in the middle of a change.
+/// Takes the lease from the coordinator of a stalled group, which may have
+/// crashed or frozen in the middle of a change.
 void RankAgent::watchForStall(const RankStatus &status) {
   TimePoint now = monotonicNow();
   if (!Stall.isStalled(status, now)) {
@@ -255,7 +271,7 @@
   case StallAdvice::Wait:
     return;
   case StallAdvice::Ask:
-    askCoordinator();
+    queryCoordinator();
     return;
   case StallAdvice::TakeOver:
     takeOver(status);
@@ -263,15 +279,16 @@
   }
 }
 
-void RankAgent::askCoordinator() {
+void RankAgent::queryCoordinator() {
   const std::string &address = Member->Lease.holder();
   if (address.empty() || address == Settings.linkListen())
     return;
   Peers.send(EndpointId(address), LeaderCheck{Member->Group}, monotonicNow());
 }
 
-/// The first whose write comes gets the time to put the group in order; the
-/// others learn from the store's refusal who it is.
+/// Takes over the group's lease. The agent whose write reaches the store first
+/// becomes the coordinator and has TakeoverTime to recover the group; the
+/// store's refusal tells the others who the coordinator is.
 void RankAgent::takeOver(const RankStatus &status) {
   TimePoint now = monotonicNow();
   Stall.reset(now + TakeoverTime);
@@ -281,7 +298,7 @@
                       .with("held", status.Held ? status.Held->get() : 0)
                       .with("coordinator", Member->Lease.holder());
   Member->Lease.takeOver(now);
-  lookAtLease();
+  updateLease();
 }
 
 void RankAgent::join(const RankStatus &status) {
@@ -291,15 +308,16 @@
       status, LeaseHolder(key, Settings.linkListen(), makeLeaseLimits()));
   Switch.resign();
   Consent.clear();
-  // Ranks are numbered anew.
-  Reach = ReachPlanner();
-  FarRanks.clear();
-  // All agents of a group start together; one should be first.
+  // The new group numbers its ranks independently of the previous one.
+  DirectReads = ReachPlanner();
+  DirectRanks.clear();
+  // All agents of a group start together; a random delay lets one of them be
+  // first.
   std::uniform_int_distribution<Duration::rep> spread(0, JoinSpread.count());
   LeaseTimer.set(monotonicNow() + Duration(spread(Random)));
 }
 
-void RankAgent::lookAtLease() {
+void RankAgent::updateLease() {
   if (!Member || IsStopped)
     return;
   TimePoint now = monotonicNow();
@@ -310,18 +328,18 @@
       if (!Member || Member->Group != group)
         return;
       Member->Lease.onReply(number, reply, monotonicNow());
-      lookAtLease();
+      updateLease();
     };
     Platform.call(std::move(*call), CallTimeout, onReply);
   }
   bool wasLeading = Switch.isLeading();
-  if (mayLead(now))
+  if (canCoordinate(now))
     Switch.lead(lease.epoch().get(), Member->Rank, now);
   else
     Switch.resign();
   if (!wasLeading && Switch.isLeading()) {
-    LedSince = now;
-    Reach.lead(now);
+    CoordinatorSince = now;
+    DirectReads.lead(now);
   }
   if (wasLeading != Switch.isLeading())
     LOG(INFO) << LogEvent(wasLeading ? "lease.lost" : "lease.won")
@@ -331,7 +349,7 @@
   LeaseTimer.set(lease.nextTimer());
 }
 
-/// Hands the own rank's state to the coordinator.
+/// Sends the state of this agent's rank to the coordinator.
 void RankAgent::report(const RankStatus &status) {
   const std::string &address = Member->Lease.holder();
   if (address.empty() || address == Settings.linkListen())
@@ -339,11 +357,12 @@
   EndpointId coordinator(address);
   Peers.setAddresses({{coordinator, address}});
   TimePoint now = monotonicNow();
-  if (std::optional<RankStatus> news = Filter.filter(status, address, now))
-    Peers.send(coordinator, *news, now);
+  if (std::optional<RankStatus> update = Filter.filter(status, address, now))
+    Peers.send(coordinator, *update, now);
 }
 
-/// A status of the coordinator's own rank has no link.
+/// Handles the status of a rank in the coordinator. \p from is empty for the
+/// coordinator's own rank.
 void RankAgent::takeStatus(const RankStatus &status,
                            std::optional<LinkId> from) {
   if (!Member || status.Group != Member->Group)
@@ -351,7 +370,7 @@
   TimePoint now = monotonicNow();
   Consent.onAlive(now);
   if (Result<TcpAddress> address = parseAddress(status.Endpoint))
-    Reach.onHeard(status.Rank, address.value(), now);
+    DirectReads.onHeard(status.Rank, address.value(), now);
   Consent.onReport(status.Rank, now);
   if (from)
     Links[status.Rank] = *from;
@@ -366,7 +385,7 @@
 void RankAgent::onReply(LinkId from, const MapOrderReply &reply) {
   TimePoint now = monotonicNow();
   Consent.onAlive(now);
-  if (!mayLead(now))
+  if (!canCoordinate(now))
     return;
   for (const auto &[rank, link] : Links)
     if (link == from) {
@@ -382,10 +401,10 @@
   logPhase();
 }
 
-/// Hands maps to the link as it has room for them.
+/// Sends queued maps as far as the link has capacity.
 void RankAgent::sendMaps() {
   TimePoint now = monotonicNow();
-  while (std::optional<SendMapOrder> next = Lane.pop(now)) {
+  while (std::optional<SendMapOrder> next = MapQueue.pop(now)) {
     if (!Switch.isPending(next->Rank, next->Order.Id))
       continue;
     Switch.onSent(next->Rank, next->Order.Id, now);
@@ -394,55 +413,58 @@
       continue;
     MapOrder order =
         Sent.shorten(next->Rank, link->second, next->Order, next->Tries);
-    Lane.onSent(sizeOf(order), now);
+    MapQueue.onSent(sizeOf(order), now);
     Server.send(link->second, order);
   }
   std::optional<TimePoint> due = Switch.nextTimer();
-  std::optional<TimePoint> room = Lane.nextTimer();
-  OrderTimer.set(due && room ? std::min(*due, *room) : (due ? due : room));
+  std::optional<TimePoint> capacityAt = MapQueue.nextTimer();
+  OrderTimer.set(due && capacityAt ? std::min(*due, *capacityAt)
+                                   : (due ? due : capacityAt));
 }
 
 void RankAgent::perform(const SendMapOrder &action) {
   auto link = Links.find(action.Rank);
-  bool canReach = mayReach(monotonicNow());
-  auto far = canReach ? FarRanks.find(action.Rank) : FarRanks.end();
-  if (Own && Own->Rank == action.Rank)
-    spawn(giveOwn(action.Rank, action.Order));
+  bool canBypass = canBypassAgents(monotonicNow());
+  auto directRank =
+      canBypass ? DirectRanks.find(action.Rank) : DirectRanks.end();
+  if (OwnStatus && OwnStatus->Rank == action.Rank)
+    spawn(sendToOwnRank(action.Rank, action.Order));
   else if (std::shared_ptr<RankLink> direct =
-               canReach ? holdLink(action) : nullptr)
-    spawn(giveFar(std::move(direct), action.Rank, action.Order));
-  else if (far != FarRanks.end() && !Reach.isHeard(action.Rank, monotonicNow()))
-    spawn(giveFar(far->second, action.Rank, action.Order));
+               canBypass ? chooseHoldLink(action) : nullptr)
+    spawn(sendDirectly(std::move(direct), action.Rank, action.Order));
+  else if (directRank != DirectRanks.end() &&
+           !DirectReads.isHeard(action.Rank, monotonicNow()))
+    spawn(sendDirectly(directRank->second, action.Rank, action.Order));
   else if (std::shared_ptr<RankLink> other =
-               canReach ? repeatLink(action) : nullptr)
-    spawn(giveFar(std::move(other), action.Rank, action.Order));
+               canBypass ? chooseRetryLink(action) : nullptr)
+    spawn(sendDirectly(std::move(other), action.Rank, action.Order));
   else if (link != Links.end())
     sendOrQueue(action, link->second);
 }
 
-/// Maps wait for room on the link; whatever else goes to a rank makes void what
-/// waits for it.
+/// Queues orders with maps until the link has capacity, and sends other orders
+/// at once. A newer order to a rank replaces the one queued for this rank.
 void RankAgent::sendOrQueue(const SendMapOrder &action, LinkId link) {
   if (OrderLane::mustWait(action.Order)) {
-    Lane.push(action);
+    MapQueue.push(action);
     Switch.onQueued(action.Rank, action.Order.Id);
     return;
   }
-  Lane.drop(action.Rank);
+  MapQueue.drop(action.Rank);
   Server.send(link, action.Order);
 }
 
-asio::awaitable<void> RankAgent::giveOwn(unsigned rank, MapOrder order) {
+asio::awaitable<void> RankAgent::sendToOwnRank(unsigned rank, MapOrder order) {
   MapOrderReply reply;
   reply.Id = order.Id;
-  reply.Result = co_await Rank.give(std::move(order));
+  reply.Result = co_await Rank.sendOrder(std::move(order));
   apply(Switch.onReply(rank, reply, monotonicNow()));
   if (!IsReading)
     co_await readRank();
 }
 
-/// Passes the coordinator's order on to the own rank.
-asio::awaitable<void> RankAgent::giveFor(EndpointId from, MapOrder order) {
+/// Forwards the coordinator's order to this agent's rank.
+asio::awaitable<void> RankAgent::forwardOrder(EndpointId from, MapOrder order) {
   MapOrderReply reply;
   reply.Id = order.Id;
   std::uint64_t newest = Member ? Member->Lease.newestHolder().get() : 0;
@@ -455,7 +477,7 @@
     Peers.send(from, reply, monotonicNow());
     co_return;
   }
-  reply.Result = co_await Rank.give(std::move(order));
+  reply.Result = co_await Rank.sendOrder(std::move(order));
   Peers.send(from, reply, monotonicNow());
   if (!IsReading)
     co_await readRank();
--- a/lib/Process/RankPlans.cpp
+++ b/lib/Process/RankPlans.cpp
@@ -1,7 +1,7 @@
-//===- RankPlans.cpp - when a coordinator changes the map -----------------===//
+//===- RankPlans.cpp - planning of expert placements ----------------------===//
 //
-// The part of RankAgent that reads the engine's figures, plans placements and
-// logs what the group does. See RankAgent.h.
+// The part of RankAgent that reads the engine's parameters, plans placements
+// and logs the state of the group. See RankAgent.h.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,60 +14,64 @@
 
 using namespace ospreyspur;
 
-// Found by trials on fixed days of traffic; docs/PLATFORM.md says which.
+// docs/PLATFORM.md describes the traffic for which these values were set.
 
-/// Between two plans.
-static constexpr Duration PlanEvery = std::chrono::milliseconds(100);
-/// Between two lines in the log about a group.
-static constexpr Duration GroupLineEvery = std::chrono::seconds(1);
-/// Between two tries to read the engine's figures.
-static constexpr Duration FiguresRetry = std::chrono::seconds(1);
-/// For how long each waits. They come with the whole configuration, some 0.3
-/// MB, over a narrow link that is busiest when a large group has just been
-/// formed. Given up after a second and begun again, the read filled that link
-/// for good and its group kept the map that it was formed with.
-static constexpr Duration FiguresTimeout = std::chrono::seconds(5);
-/// Skew that a change must save: below, copying costs more than it gains.
+/// Time between two plans.
+static constexpr Duration MinPlanInterval = std::chrono::milliseconds(100);
+/// Time between two log lines about a group.
+static constexpr Duration GroupLogInterval = std::chrono::seconds(1);
+/// Time between two attempts to read the engine's parameters.
+static constexpr Duration SettingsReadRetry = std::chrono::seconds(1);
+/// Timeout of such a read. The parameters are part of the whole configuration,
+/// some 0.3 MB, and are read over a narrow link that is busiest just after a
+/// large group was formed. With a timeout of 1 s, abandoned and restarted reads
+/// filled the link permanently, and the group kept its initial map.
+static constexpr Duration SettingsReadTimeout = std::chrono::seconds(5);
+/// Smallest reduction of the skew for which the map is changed; below this,
+/// copying experts costs more than the change gains.
 static constexpr double MinSkewGain = 0.2;
-/// From this skew on, steps are so slow that a change should bring more; a
-/// group that was just formed has 3.3.
+/// Above this skew, steps are so slow that a change may replace more experts at
+/// once; a newly formed group has a skew of 3.3.
 static constexpr double HighSkew = 2.5;
 
-void RankAgent::readFigures() {
+void RankAgent::readEngineSettings() {
   TimePoint now = monotonicNow();
-  if (now < NextFigures)
+  if (now < NextSettingsRead)
     return;
-  NextFigures = now + FiguresTimeout + FiguresRetry;
+  NextSettingsRead = now + SettingsReadTimeout + SettingsReadRetry;
   KvCall call = KvGet{platform::ConfigDocumentKey, true};
-  Platform.call(std::move(call), FiguresTimeout, [this](const KvReply &reply) {
-    NextFigures = monotonicNow() + FiguresRetry;
-    Result<FleetConfig> config =
-        reply.Code == ResultCode::Ok
-            ? platform::readConfig(reply.Value)
-            : Result<FleetConfig>(Error{reply.Code, "no answer of use"});
-    if (!config) {
-      LOG(WARNING) << LogEvent("figures.unknown")
-                          .with("code",
-                                static_cast<unsigned>(config.error().Code))
-                          .with("detail", config.error().Detail);
-      return;
-    }
-    const ServiceRule *service =
-        config.value().findService(ServiceId(Settings.Service));
-    if (service)
-      Figures = service->Engine;
-  });
+  Platform.call(
+      std::move(call), SettingsReadTimeout, [this](const KvReply &reply) {
+        NextSettingsRead = monotonicNow() + SettingsReadRetry;
+        Result<FleetConfig> config =
+            reply.Code == ResultCode::Ok
+                ? platform::readConfig(reply.Value)
+                : Result<FleetConfig>(
+                      Error{reply.Code, "cannot read the configuration"});
+        if (!config) {
+          LOG(WARNING) << LogEvent("figures.unknown")
+                              .with("code",
+                                    static_cast<unsigned>(config.error().Code))
+                              .with("detail", config.error().Detail);
+          return;
+        }
+        const ServiceRule *service =
+            config.value().findService(ServiceId(Settings.Service));
+        if (service)
+          EngineSettings = service->Engine;
+      });
 }
 
 void RankAgent::considerPlan() {
   TimePoint now = monotonicNow();
-  if (!Figures && Switch.isLeading())
-    readFigures();
-  if (now < NextPlan || !Figures || !Switch.canBegin(now) || !mayBegin(now))
+  if (!EngineSettings && Switch.isLeading())
+    readEngineSettings();
+  if (now < NextPlan || !EngineSettings || !Switch.canBegin(now) ||
+      !canBeginChange(now))
     return;
-  if (!fitsFigures() || !Demand.isSettled(now))
+  if (!matchesEngineSettings() || !Demand.isSettled(now))
     return;
-  NextPlan = now + PlanEvery;
+  NextPlan = now + MinPlanInterval;
   logGroup();
   PlacementPlan plan = makePlan(false);
   if (plan.SkewBefore > HighSkew)
@@ -86,20 +90,22 @@
 }
 
 PlacementPlan RankAgent::makePlan(bool isUrgent) const {
-  ChangeBudget budget(Figures->CopyTime);
-  PlacementLimits limits{Figures->PlacesPerRank, Figures->SparePlaces,
+  ChangeBudget budget(EngineSettings->CopyTime);
+  PlacementLimits limits{EngineSettings->PlacesPerRank,
+                         EngineSettings->SparePlaces,
                          budget.newPerRank(isUrgent), budget.minGain()};
   return PlacementPlanner(limits).plan(Switch.placement(), Demand.demand(),
                                        Switch.paces());
 }
 
-/// One line a second of what the group does, for whoever looks for pauses.
+/// Logs one line a second about the group's steps and load imbalance, which
+/// shows pauses of the group.
 void RankAgent::logGroup() {
   TimePoint now = monotonicNow();
-  if (now < NextGroupLine || !Switch.canBegin(now) || !fitsFigures())
+  if (now < NextGroupLog || !Switch.canBegin(now) || !matchesEngineSettings())
     return;
-  NextGroupLine = now + GroupLineEvery;
-  PlacementLimits none{Figures->PlacesPerRank, 0, 0, 0};
+  NextGroupLog = now + GroupLogInterval;
+  PlacementLimits none{EngineSettings->PlacesPerRank, 0, 0, 0};
   PlacementPlan present = PlacementPlanner(none).plan(
       Switch.placement(), Demand.demand(), Switch.paces());
   Measures.set("group_skew", present.SkewBefore);
@@ -111,18 +117,20 @@
                    .with("skew", present.SkewBefore);
 }
 
-/// Whether the engine's figures are known and agree with what ranks report.
-bool RankAgent::fitsFigures() const {
-  if (!Figures || Figures->ExpertSets == 0 || Switch.ranks().empty())
+/// Whether the engine's parameters are known and match the ranks' reports.
+bool RankAgent::matchesEngineSettings() const {
+  if (!EngineSettings || EngineSettings->ExpertSets == 0 ||
+      Switch.ranks().empty())
     return false;
   const RankPlacement &first = Switch.ranks().begin()->second.Placement;
-  return first.size() == Figures->ExpertSets &&
-         Demand.demand().size() == Figures->ExpertSets * Figures->Experts &&
+  return first.size() == EngineSettings->ExpertSets &&
+         Demand.demand().size() ==
+             EngineSettings->ExpertSets * EngineSettings->Experts &&
          Demand.total() > 0;
 }
 
-/// The word for \p phase in logs.
-static const char *phaseWord(SwitchPhase phase) {
+/// The name of \p phase in logs and metrics.
+static const char *phaseName(SwitchPhase phase) {
   switch (phase) {
   case SwitchPhase::Idle:
     return "idle";
@@ -151,12 +159,12 @@
     return;
   LoggedPhase = Switch.phase();
   Measures.count("map_phases_total{phase=\"" +
-                 std::string(phaseWord(LoggedPhase)) + "\"}");
+                 std::string(phaseName(LoggedPhase)) + "\"}");
   auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
       monotonicNow() - Switch.beganAt());
   LOG(INFO) << LogEvent("map.phase")
                    .with("group", Member ? Member->Group.get() : "")
                    .with("version", Switch.version().get())
-                   .with("phase", phaseWord(LoggedPhase))
+                   .with("phase", phaseName(LoggedPhase))
                    .with("ms", age.count());
 }
--- a/unittests/Process/CrashingRequestTest.cpp
+++ b/unittests/Process/CrashingRequestTest.cpp
@@ -1,14 +1,12 @@
-//===- CrashingRequestTest.cpp - a request that ends its endpoints --------===//
+//===- CrashingRequestTest.cpp - a request that crashes endpoints ---------===//
 //
-// Seen: one request came again and again, each time with another id and at any
-// entry. Each endpoint that began it ended, with all that it ran; eleven ended
-// in eight seconds, and whole groups stood still.
-// How: an entry that lost the endpoint sent the request to the next one, and
-// when its caller came back another entry knew nothing of the first.
-// Cause: a lost attempt was evidence against the endpoint only, never against
-// the request, and nothing of it was kept beyond the call.
-// Proved by: real entries before endpoints that end on one body, below; red as
-// long as the request is sent on after the third one.
+// Guards against a request that is sent to one endpoint after the other and
+// crashes each, with all other requests that run there. Its caller retries at
+// any entry with a new request id. If entries attribute a lost attempt only to
+// the endpoint and forget the attempt with the call, nothing stops the request:
+// eleven endpoints crashed in eight seconds and whole groups stalled. Real
+// entries run in front of endpoints that crash on one request body; the request
+// must not be sent on after the third crash.
 //
 //===----------------------------------------------------------------------===//
 
@@ -36,12 +34,14 @@
 using std::chrono::milliseconds;
 
 static constexpr auto AsTuple = asio::as_tuple(asio::use_awaitable);
-static constexpr std::string_view Deadly = "ends whoever runs it";
-/// How long an endpoint takes to start again.
+static constexpr std::string_view CrashingBody =
+    "crashes any endpoint that runs it";
+/// How long an endpoint takes to restart.
 static constexpr milliseconds DownTime(400);
-/// How long it may still take connections when it has cut its answers.
+/// How long a crashing endpoint may accept connections after it has cut off its
+/// responses.
 static constexpr milliseconds ClosingTime(5);
-/// How long it works before it answers, or ends.
+/// How long an endpoint runs a request before it responds or crashes.
 static constexpr milliseconds RunTime(30);
 
 static asio::awaitable<void> pause(milliseconds span) {
@@ -50,12 +50,12 @@
 }
 
 namespace {
-/// An endpoint whose process ends when it runs the deadly body, and is started
-/// again under the same name and address.
-class MortalEndpoint {
+/// An endpoint that crashes when it runs the crashing body, and is restarted
+/// under the same name and address.
+class CrashingEndpoint {
 public:
-  MortalEndpoint(asio::io_context &ioc, std::string name,
-                 std::function<void()> onChange)
+  CrashingEndpoint(asio::io_context &ioc, std::string name,
+                   std::function<void()> onChange)
       : Context(ioc), Name(std::move(name)), OnChange(std::move(onChange)),
         Acceptor(ioc), Address(test::findFreeAddress()) {
     start();
@@ -72,8 +72,8 @@
     return out;
   }
 
-  /// Ends the process, whatever it runs. Its sockets close one by one, at times
-  /// the listening one last.
+  /// Simulates a crash of the process. Its sockets close one by one; after
+  /// listenLast() the listening socket closes last.
   void crash() {
     boost::system::error_code ec;
     if (!ListensLast)
@@ -82,14 +82,14 @@
       it->set_option(asio::socket_base::linger(true, 0), ec);
       it->close(ec);
     }
-    asio::co_spawn(Context, comeBack(), asio::detached);
+    asio::co_spawn(Context, restartLater(), asio::detached);
   }
 
   void listenLast() { ListensLast = true; }
 
   bool isUp() const { return Acceptor.is_open(); }
-  /// Lives that ended under the deadly body.
-  unsigned deaths() const { return Deaths; }
+  /// Number of crashes caused by the crashing body.
+  unsigned crashCount() const { return Crashes; }
 
 private:
   using Socket = std::shared_ptr<tcp::socket>;
@@ -103,7 +103,7 @@
     asio::co_spawn(Context, acceptAll(), asio::detached);
   }
 
-  asio::awaitable<void> comeBack() {
+  asio::awaitable<void> restartLater() {
     co_await pause(ListensLast ? ClosingTime : milliseconds(0));
     boost::system::error_code ec;
     Acceptor.close(ec);
@@ -126,7 +126,7 @@
     }
   }
 
-  /// One request a connection.
+  /// Serves the only request of a connection.
   asio::awaitable<void> serve(Socket socket) {
     std::string text;
     auto [ec, n] = co_await asio::async_read_until(
@@ -142,17 +142,17 @@
     co_await pause(RunTime);
     if (!Open.contains(socket))
       co_return;
-    if (text.find(Deadly) != std::string::npos) {
-      ++Deaths;
+    if (text.find(CrashingBody) != std::string::npos) {
+      ++Crashes;
       crash();
       co_return;
     }
-    co_await answer(*socket, text);
+    co_await respond(*socket, text);
     Open.erase(socket);
   }
 
-  static asio::awaitable<void> answer(tcp::socket &socket,
-                                      const std::string &text) {
+  static asio::awaitable<void> respond(tcp::socket &socket,
+                                       const std::string &text) {
     static constexpr std::string_view Label = "Request-Id: ";
     std::size_t at = text.find(Label) + Label.size();
     std::string out = "HTTP/1.1 200 OK\r\nReplica-Stamp: s\r\nRequest-Id: " +
@@ -167,18 +167,18 @@
   tcp::acceptor Acceptor;
   tcp::endpoint Address;
   unsigned Life = 0;
-  unsigned Deaths = 0;
+  unsigned Crashes = 0;
   bool ListensLast = false;
   std::set<Socket> Open;
 };
 
-/// What callers were told, by status.
-using Told = std::map<std::string, unsigned>;
+/// Number of responses to callers, by status line.
+using StatusCounts = std::map<std::string, unsigned>;
 
-/// Some real entries before some such endpoints.
-class MortalWorld {
+/// Real entries in front of such endpoints.
+class CrashingWorld {
 public:
-  MortalWorld(unsigned entries, unsigned endpoints) {
+  CrashingWorld(unsigned entries, unsigned endpoints) {
     for (unsigned i = 0; i < endpoints; ++i)
       Endpoints.emplace_back(Context, "e" + std::to_string(i),
                              [this] { publish(); });
@@ -186,7 +186,7 @@
       addEntry();
   }
 
-  /// Starts one more entry, which knows nothing. Returns its number.
+  /// Starts one more entry, which knows of no crashes. Returns its index.
   unsigned addEntry() {
     auto own = std::make_unique<DirectSettings>();
     own->Name = "n" + std::to_string(Entries.size());
@@ -203,15 +203,16 @@
   }
 
   /// Sends \p body to entry \p i after \p delay.
-  void callAfter(milliseconds delay, unsigned i, std::string body, Told &told) {
-    asio::co_spawn(Context, call(delay, i, std::move(body), told),
+  void callAfter(milliseconds delay, unsigned i, std::string body,
+                 StatusCounts &counts) {
+    asio::co_spawn(Context, call(delay, i, std::move(body), counts),
                    asio::detached);
   }
 
   void crashAfter(milliseconds delay, unsigned endpoint) {
     asio::co_spawn(
         Context,
-        [](milliseconds span, MortalEndpoint &it) -> asio::awaitable<void> {
+        [](milliseconds span, CrashingEndpoint &it) -> asio::awaitable<void> {
           co_await pause(span);
           if (it.isUp())
             it.crash();
@@ -220,7 +221,7 @@
   }
 
   void listenLast() {
-    for (MortalEndpoint &it : Endpoints)
+    for (CrashingEndpoint &it : Endpoints)
       it.listenLast();
   }
 
@@ -229,10 +230,10 @@
     Context.run_for(span);
   }
 
-  unsigned deaths() const {
+  unsigned crashCount() const {
     unsigned n = 0;
-    for (const MortalEndpoint &it : Endpoints)
-      n += it.deaths();
+    for (const CrashingEndpoint &it : Endpoints)
+      n += it.crashCount();
     return n;
   }
 
@@ -260,7 +261,7 @@
     for (std::size_t i = 0; i < Entries.size(); ++i) {
       auto snapshot = std::make_shared<DirectSnapshot>();
       snapshot->Config = Config;
-      for (const MortalEndpoint &it : Endpoints)
+      for (const CrashingEndpoint &it : Endpoints)
         snapshot->Endpoints.push_back({it.record(), false});
       for (std::size_t k = 0; k < Entries.size(); ++k)
         if (k != i)
@@ -272,7 +273,7 @@
   }
 
   asio::awaitable<void> call(milliseconds delay, unsigned i, std::string body,
-                             Told &told) {
+                             StatusCounts &counts) {
     co_await pause(delay);
     tcp::socket socket(Context);
     auto [ec] = co_await socket.async_connect(
@@ -286,90 +287,91 @@
     std::string text;
     co_await asio::async_read_until(socket, asio::dynamic_buffer(text),
                                     "\r\n\r\n", AsTuple);
-    ++told[text.substr(0, std::min<std::size_t>(text.size(), 12))];
+    ++counts[text.substr(0, std::min<std::size_t>(text.size(), 12))];
   }
 
   asio::io_context Context;
   Metrics Measures;
   std::shared_ptr<const FleetConfig> Config = makeConfig();
-  std::list<MortalEndpoint> Endpoints;
+  std::list<CrashingEndpoint> Endpoints;
   std::vector<std::unique_ptr<DirectSettings>> Settings;
   std::vector<std::unique_ptr<DirectTraffic>> Entries;
   unsigned LastRequest = 0;
 };
 } // namespace
 
-/// Endpoints that may end in all: three before the request is known for what it
-/// is, and three more that it may reach at once.
-static constexpr unsigned MostDeaths = 6;
+/// Most crashes allowed: three until the request is quarantined, and three more
+/// endpoints that may run the request at the same time.
+static constexpr unsigned MaxCrashes = 6;
 static constexpr std::string_view Served = "HTTP/1.1 200";
 
-TEST_CASE("a request that ends its endpoints is not sent on for ever") {
+TEST_CASE("a request that crashes endpoints is not sent on without limit") {
   constexpr unsigned Entries = 3;
-  MortalWorld world(Entries, 8);
-  Told deadly;
+  CrashingWorld world(Entries, 8);
+  StatusCounts crashingCounts;
   for (unsigned i = 0; i < 40; ++i)
-    world.callAfter(milliseconds(100 * i), i % Entries, std::string(Deadly),
-                    deadly);
-  Told innocent;
-  constexpr unsigned Innocent = 400;
-  for (unsigned i = 0; i < Innocent; ++i)
+    world.callAfter(milliseconds(100 * i), i % Entries,
+                    std::string(CrashingBody), crashingCounts);
+  StatusCounts innocentCounts;
+  constexpr unsigned InnocentRequests = 400;
+  for (unsigned i = 0; i < InnocentRequests; ++i)
     world.callAfter(milliseconds(10 * i), i % Entries,
-                    "innocent " + std::to_string(i), innocent);
+                    "innocent " + std::to_string(i), innocentCounts);
   world.run(milliseconds(5500));
-  CHECK(world.deaths() >= 1);
-  CHECK(world.deaths() <= MostDeaths);
-  CHECK(deadly[std::string(Served)] == 0);
+  CHECK(world.crashCount() >= 1);
+  CHECK(world.crashCount() <= MaxCrashes);
+  CHECK(crashingCounts[std::string(Served)] == 0);
   unsigned answered = 0;
-  for (const auto &[status, n] : deadly)
+  for (const auto &[status, n] : crashingCounts)
     answered += n;
   CHECK(answered == 40);
-  // What ran beside it once goes on elsewhere.
-  CHECK(innocent[std::string(Served)] >= Innocent - 2);
+  // Requests that ran on the same endpoints are retried on others.
+  CHECK(innocentCounts[std::string(Served)] >= InnocentRequests - 2);
 }
 
-TEST_CASE("an end is seen though the endpoint still takes connections") {
+TEST_CASE("a crash is detected though the endpoint accepts connections") {
   constexpr unsigned Entries = 3;
-  MortalWorld world(Entries, 8);
+  CrashingWorld world(Entries, 8);
   world.listenLast();
-  Told deadly;
+  StatusCounts crashingCounts;
   for (unsigned i = 0; i < 40; ++i)
-    world.callAfter(milliseconds(100 * i), i % Entries, std::string(Deadly),
-                    deadly);
+    world.callAfter(milliseconds(100 * i), i % Entries,
+                    std::string(CrashingBody), crashingCounts);
   world.run(milliseconds(5500));
-  CHECK(world.deaths() >= 1);
-  CHECK(world.deaths() <= MostDeaths);
+  CHECK(world.crashCount() >= 1);
+  CHECK(world.crashCount() <= MaxCrashes);
 }
 
-TEST_CASE("no request is refused because endpoints end by themselves") {
+TEST_CASE("no request is refused for crashes that no request causes") {
   constexpr unsigned Entries = 3;
-  MortalWorld world(Entries, 8);
+  CrashingWorld world(Entries, 8);
   for (unsigned i = 0; i < 12; ++i)
     world.crashAfter(milliseconds(200 + 250 * i), i % 8);
-  Told told;
+  StatusCounts counts;
   constexpr unsigned Requests = 400;
   for (unsigned i = 0; i < Requests; ++i)
     world.callAfter(milliseconds(10 * i), i % Entries,
-                    "innocent " + std::to_string(i), told);
+                    "innocent " + std::to_string(i), counts);
   world.run(milliseconds(5500));
-  CHECK(world.deaths() == 0);
-  CHECK(told[std::string(Served)] >= Requests - 2);
+  CHECK(world.crashCount() == 0);
+  CHECK(counts[std::string(Served)] >= Requests - 2);
 }
 
-TEST_CASE("an entry that starts learns from the others what not to run") {
+TEST_CASE("a new entry learns of quarantined requests from other entries") {
   constexpr unsigned Entries = 3;
-  MortalWorld world(Entries, 8);
-  Told deadly;
+  CrashingWorld world(Entries, 8);
+  StatusCounts crashingCounts;
   for (unsigned i = 0; i < 10; ++i)
-    world.callAfter(milliseconds(100 * i), i % Entries, std::string(Deadly),
-                    deadly);
+    world.callAfter(milliseconds(100 * i), i % Entries,
+                    std::string(CrashingBody), crashingCounts);
   world.run(milliseconds(2500));
-  unsigned before = world.deaths();
+  unsigned before = world.crashCount();
   CHECK(before >= 1);
   unsigned last = world.addEntry();
   world.run(milliseconds(1000));
   for (unsigned i = 0; i < 10; ++i)
-    world.callAfter(milliseconds(100 * i), last, std::string(Deadly), deadly);
+    world.callAfter(milliseconds(100 * i), last, std::string(CrashingBody),
+                    crashingCounts);
   world.run(milliseconds(2500));
-  CHECK(world.deaths() == before);
+  CHECK(world.crashCount() == before);
 }
