--- a/include/ospreyspur/Config/ConfigDocument.h
+++ b/include/ospreyspur/Config/ConfigDocument.h
@@ -42,7 +42,7 @@
 /// A service's configuration.
 struct ServiceConfig {
   ServiceKind Kind = ServiceKind::Plain;
-  bool IsRepeatable = false;
+  bool IsRetryable = false;
   Labels OwnLabels;
 };
 
--- a/include/ospreyspur/Config/Settings.h
+++ b/include/ospreyspur/Config/Settings.h
@@ -59,7 +59,7 @@
   /// The lock-step group that the endpoint belongs to; empty for none.
   std::string Group;
   /// Dimensions of the group's expert maps; one rank for each member if 0.
-  MapShape Shape;
+  MapShape MapDimensions;
   PlannerWeights Weights;
   Duration PlanInterval{};
   Duration EndpointIdle{};
@@ -89,7 +89,7 @@
   /// How long a planned stop may take.
   Duration StopLimit{};
   Duration StopNotice{};
-  RetryBounds Retries;
+  RetryLimits Retries;
   /// HMAC key of the request digests; must be the same at all entries.
   std::string DigestKey;
 
--- a/include/ospreyspur/Control/ControlPlane.h
+++ b/include/ospreyspur/Control/ControlPlane.h
@@ -29,7 +29,7 @@
   /// Receives each new snapshot.
   std::function<void(std::shared_ptr<const RoutingSnapshot>)> OnSnapshot;
   /// Sends a message on a link that another node opened.
-  std::function<void(LinkId, const Message &)> Answer;
+  std::function<void(LinkId, const Message &)> SendReply;
 };
 
 /// Follows the shared values on the control thread.
--- a/include/ospreyspur/Control/DirectControl.h
+++ b/include/ospreyspur/Control/DirectControl.h
@@ -34,7 +34,7 @@
   std::vector<ListedEndpoint> Endpoints;
   std::vector<NodeRecord> Nodes;
   /// Whether the key-value store has returned the list of processes.
-  bool AreNodesListed = false;
+  bool HasNodeList = false;
   /// Requests that were quarantined before this process started. Contained only
   /// in the first snapshot after they were read from the store.
   std::vector<RequestDigest> Restored;
--- a/include/ospreyspur/Control/QuarantineSync.h
+++ b/include/ospreyspur/Control/QuarantineSync.h
@@ -30,8 +30,8 @@
   void start() { onTimer(); }
   /// Sets the requests that this process has quarantined, and those that it has
   /// cleared since.
-  void setOwn(std::vector<RequestDigest> quarantined,
-              const std::vector<RequestDigest> &cleared);
+  void setLocalQuarantine(std::vector<RequestDigest> quarantined,
+                          const std::vector<RequestDigest> &cleared);
 
 private:
   void onTimer();
--- a/include/ospreyspur/Direct/CallState.h
+++ b/include/ospreyspur/Direct/CallState.h
@@ -38,10 +38,11 @@
   unsigned ReceivedParts = 0;
   /// Whether the current attempt is being stopped.
   bool IsStopping = false;
-  /// Whether the current attempt has been silent for longer than \c Silence.
+  /// Whether the current attempt has been silent for longer than \c
+  /// MaxIdleTime.
   bool IsSilent = false;
   /// Silent period after which the attempt is migrated if possible.
-  Duration Silence{};
+  Duration MaxIdleTime{};
   bool HasFirstByte = false;
   /// Whether any attempt has received part of the response.
   bool HasBegun = false;
--- a/include/ospreyspur/Direct/DirectActions.h
+++ b/include/ospreyspur/Direct/DirectActions.h
@@ -10,7 +10,7 @@
 
 #include "ospreyspur/Direct/EndpointRecord.h"
 #include "ospreyspur/Direct/FleetConfig.h"
-#include "ospreyspur/Quarantine/EndpointFate.h"
+#include "ospreyspur/Quarantine/EndpointLiveness.h"
 #include "ospreyspur/Support/Digest.h"
 #include "ospreyspur/Support/ResultCode.h"
 
@@ -26,7 +26,7 @@
 struct TokenCounts {
   unsigned Prompt = 0;
   /// Maximum number of output tokens.
-  unsigned Answer = 0;
+  unsigned Output = 0;
 };
 
 /// A client's request that has a route and, if needed, a valid key.
@@ -54,7 +54,7 @@
   /// The endpoint rejected the request as it is full, without running it.
   Full,
   /// Another incarnation has the address and did not run the request.
-  OtherEndpoint,
+  OtherIncarnation,
   /// Nothing was sent, as no connection could be established.
   NeverSent,
   /// Nothing was sent, as the endpoint had stopped accepting requests since it
@@ -86,7 +86,7 @@
   unsigned Number = 1;
   /// Silent period after which a stream that can resume at another endpoint is
   /// migrated.
-  Duration Silence{};
+  Duration MaxIdleTime{};
 };
 
 /// Ends the call at once with this result code.
@@ -98,12 +98,12 @@
 };
 
 /// Forwards the endpoint's own error response to the caller.
-struct PassOnAnswer {
+struct ForwardResponse {
   CallId Call;
 };
 
 /// Why an attempt is stopped.
-enum class MoveReason : std::uint8_t {
+enum class MigrationReason : std::uint8_t {
   /// The response cannot complete before the deadline at its endpoint.
   TooSlow,
   /// The endpoint has sent nothing for longer than the allowed silent period.
@@ -116,7 +116,7 @@
 /// Break the attempt under way off; the call goes on elsewhere.
 struct StopAttempt {
   CallId Call;
-  MoveReason Reason = MoveReason::TooSlow;
+  MigrationReason Reason = MigrationReason::TooSlow;
   /// The figures behind the decision: the expected inter-event gap at the
   /// endpoint and the time left until the deadline.
   Duration Gap{};
@@ -124,7 +124,7 @@
 };
 
 /// Sends a status query to this endpoint.
-struct AskEndpoint {
+struct QueryEndpoint {
   EndpointRecord Endpoint;
 };
 
@@ -134,7 +134,7 @@
 };
 
 /// The status that an endpoint reports in response to a status query.
-struct EndpointCondition {
+struct EndpointStatus {
   /// The group whose steps the endpoint takes part in; empty if there is none.
   GroupId Group;
   /// False while the group is being formed and the endpoint accepts no
@@ -143,12 +143,12 @@
   /// Number of requests in progress, from all entries.
   unsigned Running = 0;
   /// Slowdown factor; 1 is normal speed.
-  double Pace = 1;
+  double Slowdown = 1;
 };
 
 /// One output of the direct path's state machine.
-using DirectAction = std::variant<StartAttempt, EndCall, PassOnAnswer,
-                                  AskEndpoint, CheckEndpoint, StopAttempt>;
+using DirectAction = std::variant<StartAttempt, EndCall, ForwardResponse,
+                                  QueryEndpoint, CheckEndpoint, StopAttempt>;
 using DirectActions = std::vector<DirectAction>;
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Direct/DirectLimits.h
+++ b/include/ospreyspur/Direct/DirectLimits.h
@@ -24,7 +24,7 @@
   /// first.
   double OnTimePart = 0.6;
   std::size_t MaxWaiting = 256;
-  RetryBounds Retries;
+  RetryLimits Retries;
   /// Maximum number of times one call is sent, including to addresses that
   /// another incarnation had taken over.
   unsigned MaxArrivals = 4;
--- a/include/ospreyspur/Direct/DirectNode.h
+++ b/include/ospreyspur/Direct/DirectNode.h
@@ -15,7 +15,7 @@
 #include "ospreyspur/Direct/EndpointPicker.h"
 #include "ospreyspur/Direct/FleetSize.h"
 #include "ospreyspur/Pushback/Pushback.h"
-#include "ospreyspur/Quarantine/CrashNote.h"
+#include "ospreyspur/Quarantine/CrashLogRecord.h"
 #include "ospreyspur/Quarantine/CrashTracker.h"
 
 #include <map>
@@ -40,35 +40,35 @@
   // Commands: each takes one input and returns the actions that follow.
 
   void setEndpoints(const std::vector<ListedEndpoint> &endpoints) {
-    Book.setEndpoints(endpoints);
+    Table.setEndpoints(endpoints);
   }
   void setPeerLoad(const std::string &peer,
                    const std::vector<EndpointLoad> &loads, TimePoint now) {
     Fleet.onReport(peer, now);
-    Book.setPeerLoad(peer, loads, now);
+    Table.setPeerLoad(peer, loads, now);
   }
   /// The process starts at \p now. From then on the limits on retries allow for
   /// what processes that ended before may have spent, and for entries that are
   /// listed but have not sent a report.
-  void beginLife(TimePoint now) {
+  void onProcessStarted(TimePoint now) {
     MustKnowFleet = true;
     Begin = now;
     Retries.setBegin(now);
   }
   /// Returns the replaced endpoints to report to the other entries now.
-  std::vector<LifeDigest> takeReplacedReport() {
-    return Book.takeReplacedReport();
+  std::vector<IncarnationDigest> takeReplacedReport() {
+    return Table.takeReplacedReport();
   }
   /// Takes the endpoints that another entry reported as replaced.
-  void mergeReplaced(const std::vector<LifeDigest> &incarnations,
+  void mergeReplaced(const std::vector<IncarnationDigest> &incarnations,
                      TimePoint now) {
-    Book.mergeReplaced(incarnations, now);
+    Table.mergeReplaced(incarnations, now);
   }
   /// The key-value store lists the entries \p names, apart from this one.
   void setListedEntries(std::set<std::string> names, TimePoint now) {
     Fleet.setListed(std::move(names), now);
   }
-  void setRetries(const RetryBounds &bounds) { Retries.setBounds(bounds); }
+  void setRetries(const RetryLimits &limits) { Retries.setLimits(limits); }
   /// Takes a new request, whose id must be unused.
   DirectActions onCall(DirectRequest request, TimePoint now);
   /// The first byte of the response arrived.
@@ -83,7 +83,7 @@
   DirectActions onAttemptEnded(CallId id, AttemptEnd end, TimePoint now,
                                ConnectionEnd connection = ConnectionEnd::Ours);
   /// Takes the result of CheckEndpoint.
-  DirectActions onChecked(const EndpointId &id, EndpointFate fate,
+  DirectActions onChecked(const EndpointId &id, EndpointLiveness liveness,
                           TimePoint now);
   /// Takes what the entry \p peer knows of requests that crashed endpoints.
   DirectActions onCrashReport(const std::string &peer,
@@ -101,14 +101,14 @@
                            std::optional<TimePoint> sentAt, TimePoint now);
   /// Takes the rate limits that endpoints advertised, as reported by another
   /// entry.
-  DirectActions onRateLimits(const std::vector<RateLimitRow> &rows,
+  DirectActions onRateLimits(const std::vector<RateLimitRecord> &records,
                              TimePoint now);
   /// The entry \p peer, whose load was passed to setPeerLoad(), has no callers.
   void onIdlePeer(const std::string &peer, TimePoint now) {
     Fleet.onIdle(peer, now);
   }
   /// Another entry has started and requests the known rate limits.
-  void onPeerBegun(TimePoint now) { Rates.tellAgain(now); }
+  void onPeerStarted(TimePoint now) { Rates.announceToNewEntry(now); }
   /// Whether this entry has just started and asks the others for their known
   /// rate limits.
   bool isNew(TimePoint now) const;
@@ -116,71 +116,78 @@
   /// share of what endpoints accept.
   bool isIdle(TimePoint now) const;
   /// Returns the rate limits to report to the other entries now.
-  std::vector<RateLimitRow> takeRateReport(TimePoint now) {
+  std::vector<RateLimitRecord> takeRateReport(TimePoint now) {
     return Rates.takeReport(now);
   }
   /// Returns the incarnations that announced that they are draining, to report
   /// to the other entries now.
-  std::vector<LifeDigest> takeLeavingReport() {
-    return Closed.takeLeavingReport();
+  std::vector<IncarnationDigest> takeLeavingReport() {
+    return Excluded.takeLeavingReport();
   }
   /// Takes the draining incarnations that another entry reported.
-  DirectActions onLeaving(const std::vector<LifeDigest> &incarnations,
+  DirectActions onLeaving(const std::vector<IncarnationDigest> &incarnations,
                           TimePoint now);
   /// Whether the request of the current attempt may be written now. The
   /// endpoint may have lowered its limits since it was picked.
   bool maySend(CallId id, TimePoint now);
   /// Whether the endpoint \p id may be sent status queries in addition to its
   /// requests.
-  bool takesQuestions(const EndpointId &id, TimePoint now) const {
-    const EndpointState *state = Book.find(id);
-    return !state || (!Rates.isLimited(state->Life) && !isClosed(*state, now));
+  bool acceptsStatusQueries(const EndpointId &id, TimePoint now) const {
+    const EndpointState *state = Table.find(id);
+    return !state ||
+           (!Rates.isLimited(state->Incarnation) && !isExcluded(*state, now));
   }
-  /// Takes an endpoint's status report; \p condition is unset if the endpoint
+  /// Takes an endpoint's status report; \p status is unset if the endpoint
   /// did not respond to the query.
-  DirectActions onTold(const EndpointId &id,
-                       const std::optional<EndpointCondition> &condition,
-                       TimePoint now);
+  DirectActions onStatusReport(const EndpointId &id,
+                               const std::optional<EndpointStatus> &status,
+                               TimePoint now);
   /// The caller hung up or has its response; the call is forgotten.
-  DirectActions onCallGone(CallId id, TimePoint now);
+  DirectActions onCallClosed(CallId id, TimePoint now);
   /// Handles everything that is due at \p now.
   DirectActions onTimer(TimePoint now);
 
   /// Returns the requests that started to wait since the last call, for the
   /// log.
-  std::vector<WaitNote> takeWaitNotes() { return std::exchange(Notes, {}); }
+  std::vector<WaitLogRecord> takeWaitLogRecords() {
+    return std::exchange(WaitLogRecords, {});
+  }
   /// Returns the endpoint crashes that were attributed to requests since the
   /// last call, for the log.
-  std::vector<CrashNote> takeCrashNotes() {
-    return std::exchange(CrashNotes, {});
+  std::vector<CrashLogRecord> takeCrashLogRecords() {
+    return std::exchange(CrashLogRecords, {});
   }
   /// Returns the changes of advertised rate limits since the last call, for the
   /// log.
-  std::vector<RateLimitNote> takeRateNotes() { return Rates.takeNotes(); }
+  std::vector<RateLimitLogRecord> takeRateLimitLogRecords() {
+    return Rates.takeLogRecords();
+  }
   /// Returns the backoffs that endpoints asked for since the last call, for the
   /// log.
-  std::vector<RestNote> takeRestNotes() { return Closed.takeNotes(); }
+  std::vector<BackoffLogRecord> takeBackoffLogRecords() {
+    return Excluded.takeLogRecords();
+  }
   /// Returns the incarnations that announced that they are draining since the
   /// last call, for the log.
-  std::vector<LifeDigest> takeLeavingNotes() {
-    return Closed.takeLeavingNotes();
+  std::vector<IncarnationDigest> takeLeavingLogRecords() {
+    return Excluded.takeLeavingLogRecords();
   }
 
   // Queries.
 
   std::optional<TimePoint> nextTimer() const;
-  const EndpointBook &book() const { return Book; }
+  const EndpointTable &endpointTable() const { return Table; }
   const CrashTracker &crashes() const { return Crashes; }
   const RateLimits &rates() const { return Rates; }
-  const ClosedEndpoints &closed() const { return Closed; }
+  const ExcludedEndpoints &excluded() const { return Excluded; }
   /// Whether the call still lacks its final response.
   bool isKnown(CallId id) const { return Calls.contains(id); }
   std::size_t callCount() const { return Calls.size(); }
   std::size_t waitingCount() const { return Waiting.size(); }
 
 private:
-  /// A run whose connection the endpoint closed early, kept until the fate of
-  /// the endpoint is known.
+  /// A run whose connection the endpoint closed early, kept until the liveness
+  /// of the endpoint is known.
   struct CutRun {
     RequestDigest Request;
     std::string Label;
@@ -201,16 +208,16 @@
   bool isSuspect(const CallState &call) const;
   const EndpointState *pickForSuspect(CallState &call, TimePoint now);
   bool mustDefer(const CallState &call, TimePoint now) const;
-  std::set<LifeDigest> incarnationsOfSuspects(const CallState &call,
-                                              TimePoint now) const;
+  std::set<IncarnationDigest> incarnationsOfSuspects(const CallState &call,
+                                                     TimePoint now) const;
   void endQuarantined(RequestDigest request, TimePoint now);
   std::size_t countSharingEntries(TimePoint now) const;
   void refreshMembers(TimePoint now);
   void onLimitsChanged(TimePoint now);
-  bool isResting(const EndpointId &id, TimePoint now) const;
-  bool isClosed(const EndpointState &state, TimePoint now) const {
-    return state.Record.IsLeaving || Closed.isLeaving(state.Life) ||
-           Closed.isResting(state.Life, now);
+  bool isInBackoff(const EndpointId &id, TimePoint now) const;
+  bool isExcluded(const EndpointState &state, TimePoint now) const {
+    return state.Record.IsLeaving || Excluded.isLeaving(state.Incarnation) ||
+           Excluded.isInBackoff(state.Incarnation, now);
   }
   bool mayQuery(const EndpointState &state, TimePoint now);
   ResultCode pushbackReason(const CallState &call, TimePoint now) const;
@@ -233,7 +240,7 @@
                     TimePoint now);
   void retry(CallState &call, ResultCode reason, TimePoint now);
   bool mayAttempt(const CallState &call, TimePoint now) const;
-  bool tryMigrate(CallState &call, MoveReason reason, TimePoint now);
+  bool tryMigrate(CallState &call, MigrationReason reason, TimePoint now);
   bool startNext(CallState &call, TimePoint now);
   void releaseNext(CallState &call);
   void recordReceived(CallState &call, TimePoint now);
@@ -249,10 +256,10 @@
   DataCentreId DataCentre;
   DirectLimits Limits;
   std::mt19937_64 Random;
-  EndpointBook Book;
+  EndpointTable Table;
   ArrivalRate Arrivals;
   RateLimits Rates;
-  ClosedEndpoints Closed;
+  ExcludedEndpoints Excluded;
   /// This entry's name, and when the members of the fleet were last counted.
   std::string Name;
   std::optional<TimePoint> MembersAt;
@@ -277,11 +284,11 @@
   std::set<std::tuple<unsigned, TimePoint, CallId>> Waiting;
   /// Calls whose current attempt is silent.
   std::set<CallId> Silent;
-  std::vector<WaitNote> Notes;
+  std::vector<WaitLogRecord> WaitLogRecords;
   CrashTracker Crashes;
-  /// Runs that were cut at endpoints whose fate is being checked.
+  /// Runs that were cut at endpoints whose liveness is being checked.
   std::map<EndpointId, std::vector<CutRun>> Checks;
-  std::vector<CrashNote> CrashNotes;
+  std::vector<CrashLogRecord> CrashLogRecords;
   DirectActions Out;
 };
 
--- a/include/ospreyspur/Direct/EndpointPicker.h
+++ b/include/ospreyspur/Direct/EndpointPicker.h
@@ -1,7 +1,7 @@
 //===- EndpointPicker.h - picks an endpoint for a request -------*- C++ -*-===//
 //
 // Picks the least loaded of the endpoints at which a request can complete
-// before its deadline, based on an EndpointBook.
+// before its deadline, based on an EndpointTable.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,9 +11,9 @@
 #include "ospreyspur/Direct/ArrivalRate.h"
 #include "ospreyspur/Direct/CallState.h"
 #include "ospreyspur/Direct/DirectLimits.h"
-#include "ospreyspur/Direct/EndpointBook.h"
-#include "ospreyspur/Direct/WaitNote.h"
-#include "ospreyspur/Pushback/ClosedEndpoints.h"
+#include "ospreyspur/Direct/EndpointTable.h"
+#include "ospreyspur/Direct/WaitLogRecord.h"
+#include "ospreyspur/Pushback/ExcludedEndpoints.h"
 #include "ospreyspur/Pushback/RateLimits.h"
 
 #include <cstddef>
@@ -24,16 +24,16 @@
 namespace ospreyspur {
 
 /// Picks endpoints without changing any state; the caller records a pick in the
-/// EndpointBook.
+/// EndpointTable.
 class EndpointPicker {
 public:
   /// Keeps references to all arguments. \p random breaks ties.
-  EndpointPicker(const EndpointBook &book, const DirectLimits &limits,
+  EndpointPicker(const EndpointTable &table, const DirectLimits &limits,
                  const DataCentreId &dataCentre, const ArrivalRate &arrivals,
-                 const RateLimits &rates, const ClosedEndpoints &closed,
+                 const RateLimits &rates, const ExcludedEndpoints &excluded,
                  std::mt19937_64 &random)
-      : Book(book), Limits(limits), DataCentre(dataCentre), Arrivals(arrivals),
-        Rates(rates), Closed(closed), Random(random) {}
+      : Table(table), Limits(limits), DataCentre(dataCentre),
+        Arrivals(arrivals), Rates(rates), Excluded(excluded), Random(random) {}
 
   /// Returns the endpoint for \p call; null if none has capacity for it.
   const EndpointState *pick(const CallState &call, TimePoint now) const;
@@ -42,7 +42,7 @@
   /// fewest running requests. Returns null if there is none; with \p
   /// mustBeIsolated, endpoints in \p others are excluded.
   const EndpointState *pickIsolated(const CallState &call,
-                                    const std::set<LifeDigest> &others,
+                                    const std::set<IncarnationDigest> &others,
                                     bool mustBeIsolated, TimePoint now) const;
   /// Endpoints of \p service.
   std::size_t countEndpoints(const ServiceId &service) const {
@@ -68,12 +68,12 @@
   double costOf(const EndpointState &state, const CallState &call,
                 TimePoint now) const;
 
-  const EndpointBook &Book;
+  const EndpointTable &Table;
   const DirectLimits &Limits;
   const DataCentreId &DataCentre;
   const ArrivalRate &Arrivals;
   const RateLimits &Rates;
-  const ClosedEndpoints &Closed;
+  const ExcludedEndpoints &Excluded;
   std::mt19937_64 &Random;
 };
 
--- a/include/ospreyspur/Direct/EndpointRecord.h
+++ b/include/ospreyspur/Direct/EndpointRecord.h
@@ -14,15 +14,16 @@
 
 /// Wall-clock start time of an endpoint's process in milliseconds, as reported
 /// by the endpoint; 0 if unknown. Only compared for equality.
-using EndpointLife = StrongType<struct EndpointLifeTag, std::uint64_t>;
+using EndpointIncarnation =
+    StrongType<struct EndpointIncarnationTag, std::uint64_t>;
 
 /// Returns the id of one incarnation of the endpoint \p name. A restarted
 /// process has lost all earlier state, so the incarnations of a name must not
 /// share an entry in any table: not for health, load, group, slowdown or
 /// attempts.
 inline EndpointId makeEndpointId(const std::string &name,
-                                 EndpointLife incarnation) {
-  bool isKnown = incarnation != EndpointLife(0);
+                                 EndpointIncarnation incarnation) {
+  bool isKnown = incarnation != EndpointIncarnation(0);
   return EndpointId(isKnown ? name + "@" + std::to_string(incarnation.get())
                             : name);
 }
@@ -32,7 +33,7 @@
   EndpointId Id;
   /// The name that all incarnations of the endpoint share.
   std::string Name;
-  EndpointLife Life = EndpointLife(0);
+  EndpointIncarnation Incarnation = EndpointIncarnation(0);
   ServiceId Service;
   TcpAddress Address;
   DataCentreId DataCentre;
@@ -40,7 +41,7 @@
   unsigned Slots = 1;
   bool IsLeaving = false;
   /// Whether the endpoint responds to status queries, as engines do.
-  bool TellsState = false;
+  bool AnswersStatusQueries = false;
   /// Revision of the last change of the record. Of two records with the same
   /// address the later one is valid: the endpoint of the earlier one has exited
   /// without removing its record.
--- a/include/ospreyspur/Direct/EndpointAnswer.h
+++ b/include/ospreyspur/Direct/EndpointResponse.h
@@ -1,11 +1,11 @@
-//===- EndpointAnswer.h - head of an endpoint's response --------*- C++ -*-===//
+//===- EndpointResponse.h - head of an endpoint's response ------*- C++ -*-===//
 //
 // The parts of a response's head that decide how the response is handled.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_DIRECT_ENDPOINTANSWER_H
-#define OSPREYSPUR_DIRECT_ENDPOINTANSWER_H
+#ifndef OSPREYSPUR_DIRECT_ENDPOINTRESPONSE_H
+#define OSPREYSPUR_DIRECT_ENDPOINTRESPONSE_H
 
 #include "ospreyspur/Pushback/Pushback.h"
 #include "ospreyspur/Support/Time.h"
@@ -17,7 +17,7 @@
 namespace ospreyspur {
 
 /// How a response relates to the request that was sent on its connection.
-enum class AnswerVerdict : std::uint8_t {
+enum class ResponseKind : std::uint8_t {
   /// The endpoint's own response, forwarded to the caller unchanged.
   Own,
   /// The endpoint's own response, which reports a failed run.
@@ -25,7 +25,7 @@
   /// The endpoint did not run the request, as it is full.
   Full,
   /// The request was not run: another incarnation has the address.
-  OtherEndpoint,
+  OtherIncarnation,
   /// The response belongs to another request; the expected response may still
   /// come.
   Foreign,
@@ -34,16 +34,16 @@
 };
 
 /// The head of an endpoint's response.
-struct EndpointAnswer {
+struct EndpointResponse {
   unsigned Status = 0;
-  AnswerVerdict Verdict = AnswerVerdict::Unusable;
+  ResponseKind Kind = ResponseKind::Unusable;
   /// The body is a stream of events, each forwarded as it arrives.
   bool IsEvents = false;
   /// How long the endpoint keeps the connection open; unset if not stated.
   std::optional<Duration> KeepAlive;
-  Pushback Asked;
+  Pushback ReceivedPushback;
 };
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_DIRECT_ENDPOINTANSWER_H
+#endif // OSPREYSPUR_DIRECT_ENDPOINTRESPONSE_H
--- a/include/ospreyspur/Direct/EndpointBook.h
+++ b/include/ospreyspur/Direct/EndpointTable.h
@@ -1,4 +1,4 @@
-//===- EndpointBook.h - load and health of each endpoint --------*- C++ -*-===//
+//===- EndpointTable.h - load and health of each endpoint -------*- C++ -*-===//
 //
 // What an entry knows of the endpoints: its own requests there, the load that
 // other entries report, and evidence of failures. An endpoint that fails is
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_DIRECT_ENDPOINTBOOK_H
-#define OSPREYSPUR_DIRECT_ENDPOINTBOOK_H
+#ifndef OSPREYSPUR_DIRECT_ENDPOINTTABLE_H
+#define OSPREYSPUR_DIRECT_ENDPOINTTABLE_H
 
 #include "ospreyspur/Direct/DirectActions.h"
 #include "ospreyspur/Direct/EndpointList.h"
@@ -30,17 +30,17 @@
   EndpointId Endpoint;
   unsigned Running = 0;
   /// Pending prompt tokens: those of requests without a first byte.
-  unsigned Unread = 0;
+  unsigned PendingPromptTokens = 0;
   /// Slowdown factor that the endpoint reported to this entry; 0 if the entry
   /// has not queried it recently.
-  double Pace = 0;
+  double Slowdown = 0;
 };
 
 /// One endpoint as an entry sees it.
 struct EndpointState {
   EndpointRecord Record;
   /// Digest that identifies the endpoint's incarnation in crash reports.
-  LifeDigest Life;
+  IncarnationDigest Incarnation;
   bool IsMissing = false;
   /// Number of this entry's requests at the endpoint.
   unsigned OwnRequests = 0;
@@ -74,7 +74,7 @@
   /// did not respond to a status query.
   TimePoint UnresponsiveUntil;
   /// Slowdown factor, and when it was reported.
-  double Pace = 1;
+  double Slowdown = 1;
   TimePoint SlowdownAt;
   /// When the endpoint last reported its slowdown factor to this entry, rather
   /// than to another one.
@@ -85,7 +85,7 @@
 };
 
 /// Load and health by endpoint.
-class EndpointBook {
+class EndpointTable {
 public:
   static constexpr Duration FirstSuspicion = std::chrono::milliseconds(500);
   static constexpr Duration LongestSuspicion = std::chrono::seconds(8);
@@ -166,10 +166,11 @@
   std::vector<EndpointRecord> takeSlowdownQueries(const MayQuery &mayQuery,
                                                   TimePoint now,
                                                   std::mt19937_64 &random);
-  /// Takes an endpoint's status report; \p condition is unset if the endpoint
+  /// Takes an endpoint's status report; \p status is unset if the endpoint
   /// did not respond.
-  void onTold(const EndpointId &id,
-              const std::optional<EndpointCondition> &condition, TimePoint now);
+  void onStatusReport(const EndpointId &id,
+                      const std::optional<EndpointStatus> &status,
+                      TimePoint now);
   /// Clears the \c FullUntil times that have passed; see nextFree().
   void clearExpiredFull(TimePoint now);
   /// The endpoint's process has exited. Its group gets no requests until one of
@@ -180,17 +181,17 @@
   /// Another incarnation has the endpoint's address.
   void onReplaced(const EndpointId &id, TimePoint now);
   /// Another entry reported \p incarnations as replaced.
-  void mergeReplaced(const std::vector<LifeDigest> &incarnations,
+  void mergeReplaced(const std::vector<IncarnationDigest> &incarnations,
                      TimePoint now);
   /// Returns the replaced endpoints to report to the other entries now.
-  std::vector<LifeDigest> takeReplacedReport();
+  std::vector<IncarnationDigest> takeReplacedReport();
 
   // Queries.
 
   const std::map<EndpointId, EndpointState> &states() const { return States; }
   const EndpointState *find(const EndpointId &id) const;
   /// Returns the endpoint of \p incarnation; null if unknown.
-  const EndpointState *findLife(LifeDigest incarnation) const;
+  const EndpointState *findIncarnation(IncarnationDigest incarnation) const;
   /// When the next endpoint that rejected a request as full may be tried again.
   std::optional<TimePoint> nextFree() const;
   /// When takeStatusQueries() must be called next.
@@ -205,7 +206,7 @@
   Duration confirmedGapOf(const EndpointState &state, TimePoint now) const;
   /// Returns the endpoint's slowdown factor; 1 if unknown.
   static double slowdownOf(const EndpointState &state, TimePoint now) {
-    return now - state.SlowdownAt < 2 * SlowdownInterval ? state.Pace : 1;
+    return now - state.SlowdownAt < 2 * SlowdownInterval ? state.Slowdown : 1;
   }
   /// Returns this entry's load, for reports to the other entries.
   std::vector<EndpointLoad> ownLoads(TimePoint now) const;
@@ -231,4 +232,4 @@
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_DIRECT_ENDPOINTBOOK_H
+#endif // OSPREYSPUR_DIRECT_ENDPOINTTABLE_H
--- a/include/ospreyspur/Direct/EventCutter.h
+++ b/include/ospreyspur/Direct/EventSplitter.h
@@ -1,4 +1,4 @@
-//===- EventCutter.h - splits a byte stream into events ---------*- C++ -*-===//
+//===- EventSplitter.h - splits a byte stream into events -------*- C++ -*-===//
 //
 // A response may break off in the middle of an event. Only complete events are
 // forwarded to the caller, so that a stream can resume at another endpoint
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_DIRECT_EVENTCUTTER_H
-#define OSPREYSPUR_DIRECT_EVENTCUTTER_H
+#ifndef OSPREYSPUR_DIRECT_EVENTSPLITTER_H
+#define OSPREYSPUR_DIRECT_EVENTSPLITTER_H
 
 #include <string>
 #include <string_view>
@@ -15,16 +15,16 @@
 namespace ospreyspur {
 
 /// Splits a stream of server-sent events into complete events.
-class EventCutter {
+class EventSplitter {
 public:
   /// Appends \p data and returns the events that are now complete, with their
   /// bytes unchanged.
   std::string add(std::string_view data);
   /// Discards the incomplete event at the end.
-  void dropRest() { Incomplete.clear(); }
+  void dropIncompleteEvent() { Incomplete.clear(); }
 
   /// Whether an incomplete event is buffered.
-  bool hasRest() const { return !Incomplete.empty(); }
+  bool hasIncompleteEvent() const { return !Incomplete.empty(); }
   /// Returns the id of the last complete event that has one; empty if none has.
   const std::string &lastId() const { return LastId; }
 
@@ -37,4 +37,4 @@
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_DIRECT_EVENTCUTTER_H
+#endif // OSPREYSPUR_DIRECT_EVENTSPLITTER_H
--- a/include/ospreyspur/Direct/FleetConfig.h
+++ b/include/ospreyspur/Direct/FleetConfig.h
@@ -74,23 +74,23 @@
 };
 
 /// Cost figures of a service's engine, as its operator states them.
-struct EngineFigures {
+struct EngineCosts {
   unsigned Slots = 1;
   Duration Step{};
   Duration StepPerRequest{};
-  double ReadTokensPerSecond = 0;
-  unsigned StepsPerPass = 1;
-  unsigned ReadTokensPerStep = 512;
+  double PrefillTokensPerSecond = 0;
+  unsigned StepsPerIteration = 1;
+  unsigned PrefillTokensPerStep = 512;
   /// Number of tokens in a usual response; 0 if not stated.
-  unsigned UsualAnswer = 0;
+  unsigned TypicalOutputTokens = 0;
   /// Expert placement: number of layer sets, experts in each set, and expert
   /// slots of a rank.
   std::size_t ExpertSets = 0;
   std::size_t Experts = 0;
-  std::size_t PlacesPerRank = 0;
+  std::size_t SlotsPerRank = 0;
   /// Number of new experts that one change may bring to a rank in each layer
   /// set.
-  std::size_t SparePlaces = 0;
+  std::size_t SpareSlots = 0;
   /// Time that a rank takes to copy one expert; zero if not stated.
   Duration CopyTime{};
 };
@@ -101,7 +101,7 @@
   /// Maximum number of connections that an endpoint accepts from all entries
   /// together.
   std::size_t MaxConnections = 100;
-  std::optional<EngineFigures> Engine;
+  std::optional<EngineCosts> Engine;
 };
 
 /// A workspace, looked up by key.
--- a/include/ospreyspur/Direct/RetryWindow.h
+++ b/include/ospreyspur/Direct/RetryWindow.h
@@ -26,7 +26,7 @@
 namespace ospreyspur {
 
 /// The platform's limit on retries.
-struct RetryBounds {
+struct RetryLimits {
   /// Number of retries per request.
   double Ratio = 0.2;
   /// Number of retries per window in addition to the ratio, for all entries
@@ -38,11 +38,11 @@
 /// Counts the requests and retries of each service.
 class RetryWindow {
 public:
-  explicit RetryWindow(RetryBounds bounds) : Bounds(bounds) {}
+  explicit RetryWindow(RetryLimits limits) : Limits(limits) {}
 
   // Commands.
 
-  void setBounds(const RetryBounds &bounds) { Bounds = bounds; }
+  void setLimits(const RetryLimits &limits) { Limits = limits; }
   /// The process started at \p now, possibly as the successor of another one.
   void setBegin(TimePoint now) { Begin = now; }
   /// Records a new request for \p service.
@@ -58,7 +58,7 @@
 
   // Queries.
 
-  const RetryBounds &bounds() const { return Bounds; }
+  const RetryLimits &limits() const { return Limits; }
 
 private:
   /// Part of the limit that is used. It is below 1, as the windows of the
@@ -77,7 +77,7 @@
   double allowed(const Counts &counts, std::size_t entries,
                  TimePoint now) const;
 
-  RetryBounds Bounds;
+  RetryLimits Limits;
   std::optional<TimePoint> Begin;
   std::unordered_map<ServiceId, Counts> Services;
 };
--- a/include/ospreyspur/Direct/WaitNote.h
+++ b/include/ospreyspur/Direct/WaitLogRecord.h
@@ -1,11 +1,11 @@
-//===- WaitNote.h - log record of a request that waits ----------*- C++ -*-===//
+//===- WaitLogRecord.h - log record of a request that waits -----*- C++ -*-===//
 //
 // The reasons that an entry logs when a request has to wait for an endpoint.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_DIRECT_WAITNOTE_H
-#define OSPREYSPUR_DIRECT_WAITNOTE_H
+#ifndef OSPREYSPUR_DIRECT_WAITLOGRECORD_H
+#define OSPREYSPUR_DIRECT_WAITLOGRECORD_H
 
 #include "ospreyspur/Support/Ids.h"
 
@@ -40,16 +40,16 @@
 };
 
 /// The names of the obstacles in the log, in the order of Obstacle.
-inline constexpr std::array<std::string_view, 9> ObstacleWords = {
+inline constexpr std::array<std::string_view, 9> ObstacleNames = {
     "usable",   "leaving", "tried",        "closed", "unproven",
     "too_slow", "full",    "rate_limited", "resting"};
 
 /// Number of endpoints with each obstacle.
-using ObstacleCounts = std::array<unsigned, ObstacleWords.size()>;
+using ObstacleCounts = std::array<unsigned, ObstacleNames.size()>;
 
 /// A request starts to wait for an endpoint, or its endpoint is silent and no
 /// other endpoint can take the request.
-struct WaitNote {
+struct WaitLogRecord {
   CallId Call;
   /// Number of times the request has been sent.
   unsigned Arrivals = 0;
@@ -57,7 +57,7 @@
   unsigned AttemptsLeft = 0;
   bool IsSilent = false;
   /// Whether the entry's retry budget allows one more retry to the service now.
-  bool HasRepeat = true;
+  bool HasRetry = true;
   /// Number of entries that share the retry allowance; 0 if unknown.
   std::size_t Entries = 0;
   ObstacleCounts Endpoints{};
@@ -65,4 +65,4 @@
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_DIRECT_WAITNOTE_H
+#endif // OSPREYSPUR_DIRECT_WAITLOGRECORD_H
--- a/include/ospreyspur/Experts/CoordinatorWatch.h
+++ b/include/ospreyspur/Experts/CoordinatorWatch.h
@@ -48,9 +48,9 @@
   StallAdvice onStalled(const std::string &holder, unsigned rank,
                         TimePoint now);
   /// The coordinator has replied.
-  void onAnswer(TimePoint now);
+  void onQueryReply(TimePoint now);
   /// The group progresses again.
-  void onMoving();
+  void onProgress();
 
 private:
   std::string Holder;
--- a/include/ospreyspur/Experts/DemandMeter.h
+++ b/include/ospreyspur/Experts/DemandMeter.h
@@ -72,7 +72,7 @@
   /// Whether enough samples have arrived since the last demand shift.
   bool isSettled(TimePoint now) const;
   /// Number of demand shifts detected so far.
-  std::uint64_t changes() const { return Changes; }
+  std::uint64_t shifts() const { return Shifts; }
 
 private:
   using Counts = std::vector<std::uint32_t>;
@@ -91,7 +91,7 @@
   /// Average difference between the recent samples and the older ones.
   double AverageDifference = 0;
   std::size_t Comparisons = 0;
-  std::uint64_t Changes = 0;
+  std::uint64_t Shifts = 0;
   TimePoint ShiftedAt;
   std::size_t SamplesSinceShift = 0;
 };
--- a/include/ospreyspur/Experts/DemandSampler.h
+++ b/include/ospreyspur/Experts/DemandSampler.h
@@ -36,7 +36,7 @@
   double BytesPerSecond = 0;
   /// The higher rate used where the interval would otherwise exceed
   /// MaxDesiredInterval.
-  double MostBytesPerSecond = 0;
+  double MaxBytesPerSecond = 0;
 };
 
 /// Samples the demand of one rank.
@@ -66,7 +66,7 @@
   /// Whether LastCounts is the start of a sample. Otherwise LastCounts only
   /// identifies what is counted.
   bool IsSampling = false;
-  RankLife Life;
+  RankIncarnation Incarnation;
   FormationEpoch Formation;
   std::vector<std::uint64_t> LastCounts;
 };
--- a/include/ospreyspur/Experts/ReachPlanner.h
+++ b/include/ospreyspur/Experts/DirectReadPlanner.h
@@ -1,4 +1,4 @@
-//===- ReachPlanner.h - direct reads of ranks -------------------*- C++ -*-===//
+//===- DirectReadPlanner.h - direct reads of ranks --------------*- C++ -*-===//
 //
 // A frozen or crashed agent must not prevent its group from changing maps, so
 // the coordinator bypasses silent agents and reads their ranks directly. That
@@ -11,8 +11,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_EXPERTS_REACHPLANNER_H
-#define OSPREYSPUR_EXPERTS_REACHPLANNER_H
+#ifndef OSPREYSPUR_EXPERTS_DIRECTREADPLANNER_H
+#define OSPREYSPUR_EXPERTS_DIRECTREADPLANNER_H
 
 #include "ospreyspur/Support/Address.h"
 #include "ospreyspur/Support/Time.h"
@@ -25,7 +25,7 @@
 namespace ospreyspur {
 
 /// Plans the direct reads of one group's coordinator.
-class ReachPlanner {
+class DirectReadPlanner {
 public:
   /// An agent's rank is read directly after this time without a report.
   static constexpr Duration AgentTimeout = std::chrono::milliseconds(400);
@@ -45,21 +45,23 @@
   /// This agent has become the coordinator.
   void lead(TimePoint now) { LedSince = now; }
   /// The agent of \p rank, whose endpoint is at \p address, has reported.
-  void onHeard(unsigned rank, const TcpAddress &address, TimePoint now);
+  void onAgentReport(unsigned rank, const TcpAddress &address, TimePoint now);
   /// \p address belongs to \p rank of this group.
-  void onFound(unsigned rank, const TcpAddress &address);
+  void onRankAddress(unsigned rank, const TcpAddress &address);
   /// \p address belongs to another group or to none.
-  void onOther(const TcpAddress &address) { ForeignAddresses.insert(address); }
+  void onForeignAddress(const TcpAddress &address) {
+    ForeignAddresses.insert(address);
+  }
   /// Sets the addresses at which ranks may be found.
   void setCandidates(std::vector<TcpAddress> addresses);
   /// The addresses to read now, in a group of \p size ranks.
   std::vector<TcpAddress> take(unsigned size, TimePoint now);
   /// Whether the list of endpoints is needed for setCandidates() now.
-  bool takeListQuestion(unsigned size, TimePoint now);
+  bool takeListQuery(unsigned size, TimePoint now);
 
   // Queries.
 
-  bool isHeard(unsigned rank, TimePoint now) const;
+  bool isReporting(unsigned rank, TimePoint now) const;
 
 private:
   std::vector<unsigned> silentRanks(unsigned size, TimePoint now) const;
@@ -78,4 +80,4 @@
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_EXPERTS_REACHPLANNER_H
+#endif // OSPREYSPUR_EXPERTS_DIRECTREADPLANNER_H
--- a/include/ospreyspur/Experts/ExpertMap.h
+++ b/include/ospreyspur/Experts/ExpertMap.h
@@ -45,7 +45,7 @@
 
 /// Returns the map that assigns experts to slots in turn. Needs at least one
 /// slot per expert.
-ExpertMap makeDealtMap(const MapShape &shape);
+ExpertMap makeRoundRobinMap(const MapShape &shape);
 
 /// Describes why \p map is invalid, such as an expert without a slot or twice
 /// on one rank; empty if the map is valid.
--- a/include/ospreyspur/Experts/GroupCoordinator.h
+++ b/include/ospreyspur/Experts/GroupCoordinator.h
@@ -78,7 +78,7 @@
   void setMembers(std::vector<EndpointId> members);
   /// Sets the map to bring into force; replaces a map whose change has not
   /// begun.
-  void setWanted(std::string map) { Wanted = std::move(map); }
+  void setTargetMap(std::string map) { Wanted = std::move(map); }
   /// Handles a member's reply.
   GroupActions onReply(const GroupReply &reply, TimePoint now);
   /// Handles the reply of the key-value store.
--- a/include/ospreyspur/Experts/LeaseHolder.h
+++ b/include/ospreyspur/Experts/LeaseHolder.h
@@ -35,13 +35,13 @@
   /// Whether a holder whose renewals get no reply continues to act until it
   /// learns that the lease is lost. Safe only where something else limits its
   /// actions: fencing of all its orders, or the consent of the group's members.
-  bool OutlastsOutage = false;
+  bool ActsDuringOutage = false;
   /// Whether a lease held by an earlier incarnation of this process is taken
   /// over at once; no other process acts under that lease. Late orders of the
   /// earlier incarnation must be fenced, or refused because their step has
   /// begun. The sooner the lease is taken over, the sooner a change that the
   /// earlier incarnation left unfinished is ended.
-  bool TakesOwn = false;
+  bool TakesOverOwnLease = false;
 };
 
 /// Acquires and keeps one lease.
@@ -70,13 +70,13 @@
   void takeOver(TimePoint now);
   /// Called when this process may no longer hold the lease. It stops acting
   /// until the next call has found that its own write is still in place.
-  void doubt(TimePoint now);
+  void suspend(TimePoint now);
   /// Stops acquiring the lease, and does not renew a held lease again.
   void stop() { IsStopped = true; }
 
   /// Whether this process may act as the holder at \p now.
   bool isHeld(TimePoint now) const {
-    return Holder.get() > 0 && (Limits.OutlastsOutage || now < ActUntil);
+    return Holder.get() > 0 && (Limits.ActsDuringOutage || now < ActUntil);
   }
   /// Whether the lease is valid at \p now according to the last reply of the
   /// key-value store.
@@ -104,7 +104,7 @@
   LeaseLimits Limits;
   Revision Holder;
   std::string HolderName;
-  /// The last revision that this process wrote, if doubt() was called for it.
+  /// The last revision that this process wrote, if suspend() was called for it.
   Revision Doubted;
   /// The revision of another holder as last read; 0 if there was none.
   Revision OtherHolder;
--- a/include/ospreyspur/Experts/MapDelta.h
+++ b/include/ospreyspur/Experts/MapDelta.h
@@ -43,11 +43,11 @@
   /// The last map that was compared with the map that its group was formed
   /// with, and the delta if that is shorter than the whole map.
   std::shared_ptr<const GroupPlacement> InitialDeltaOf;
-  std::optional<MapDelta> Dealt;
+  std::optional<MapDelta> Initial;
 };
 
 /// Receiver side, in the agent: the last map received.
-class ToldMap {
+class ReceivedMap {
 public:
   /// Restores the whole map of \p order. Returns false if the base map is not
   /// known here, after which the coordinator's later copies carry the whole
--- a/include/ospreyspur/Experts/MapOrder.h
+++ b/include/ospreyspur/Experts/MapOrder.h
@@ -55,7 +55,7 @@
 
 /// Shape of the map that a group is formed with: the experts of each set are
 /// assigned to the ranks in turn.
-struct DealtShape {
+struct InitialMapShape {
   std::uint32_t Ranks = 0;
   std::uint32_t Sets = 0;
   std::uint32_t Experts = 0;
@@ -63,11 +63,11 @@
 
 /// A map encoded as its differences from another map.
 struct MapDelta {
-  /// Version of the map sent before; unused if Dealt is set.
+  /// Version of the map sent before; unused if Initial is set.
   MapVersion Base;
   /// Sets in which a rank holds fewer experts than in the base map.
   std::vector<RankSet> Sets;
-  std::optional<DealtShape> Dealt = std::nullopt;
+  std::optional<InitialMapShape> Initial = std::nullopt;
   /// Changed places of all other sets, by rank, set and place. A place beyond
   /// those of the base map appends an expert. A group's first map fills its
   /// free places, one in each set of a rank; sent as whole sets, that map took
--- a/include/ospreyspur/Experts/OrderLane.h
+++ b/include/ospreyspur/Experts/MapOrderQueue.h
@@ -1,4 +1,4 @@
-//===- OrderLane.h - paces maps on a coordinator's link ---------*- C++ -*-===//
+//===- MapOrderQueue.h - paces maps on a coordinator's link -----*- C++ -*-===//
 //
 // A map goes to every rank of a group. Handed to the link all at once, the maps
 // of a large group occupy it for a second and delay urgent messages: the hold
@@ -8,8 +8,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_EXPERTS_ORDERLANE_H
-#define OSPREYSPUR_EXPERTS_ORDERLANE_H
+#ifndef OSPREYSPUR_EXPERTS_MAPORDERQUEUE_H
+#define OSPREYSPUR_EXPERTS_MAPORDERQUEUE_H
 
 #include "ospreyspur/Experts/MapSwitch.h"
 #include "ospreyspur/Support/Time.h"
@@ -21,14 +21,15 @@
 namespace ospreyspur {
 
 /// Orders that wait for the link, in order of arrival.
-class OrderLane {
+class MapOrderQueue {
 public:
   /// Timers fire late; a delay of up to this time is caught up.
   static constexpr Duration Burst = std::chrono::milliseconds(20);
 
   /// \p bytesPerSecond is the part of the link's rate that the queue may use; 0
   /// for no limit.
-  explicit OrderLane(double bytesPerSecond) : BytesPerSecond(bytesPerSecond) {}
+  explicit MapOrderQueue(double bytesPerSecond)
+      : BytesPerSecond(bytesPerSecond) {}
 
   /// Whether \p order is large enough to be queued.
   static bool mustWait(const MapOrder &order) { return order.Map != nullptr; }
@@ -59,4 +60,4 @@
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_EXPERTS_ORDERLANE_H
+#endif // OSPREYSPUR_EXPERTS_MAPORDERQUEUE_H
--- a/include/ospreyspur/Experts/MapSwitch.h
+++ b/include/ospreyspur/Experts/MapSwitch.h
@@ -147,7 +147,7 @@
   /// The experts of every rank, as reported.
   GroupPlacement placement() const;
   /// The slowdown of each rank, as reported; 1 is normal speed.
-  std::vector<double> paces() const;
+  std::vector<double> slowdowns() const;
   /// The version of the change under way, or of the last one.
   MapVersion version() const { return Version; }
   /// The group's step rate, as last measured.
--- a/include/ospreyspur/Experts/MemberConsent.h
+++ b/include/ospreyspur/Experts/MemberConsent.h
@@ -29,19 +29,19 @@
 public:
   /// A coordinator begins a change only if every agent has reported within this
   /// time; agents report at least every 0.18 s.
-  static constexpr Duration Fresh = std::chrono::milliseconds(600);
+  static constexpr Duration MaxReportAge = std::chrono::milliseconds(600);
   /// A change under way is ended within this time; afterwards the coordinator
   /// sends no more orders.
-  static constexpr Duration Longest = std::chrono::milliseconds(2000);
-  /// Time that a successor waits for agents that do not follow it: Longest plus
-  /// the time of an order in transit.
+  static constexpr Duration MaxChangeTime = std::chrono::milliseconds(2000);
+  /// Time that a successor waits for agents that do not follow it:
+  /// MaxChangeTime plus the time of an order in transit.
   static constexpr Duration SuccessorWait = std::chrono::milliseconds(3000);
 
   /// A host that did nothing for this time may have been frozen.
   static constexpr Duration Pause = std::chrono::milliseconds(500);
 
   /// Records that this process is running; must be called before any decision.
-  void onAlive(TimePoint now);
+  void onActive(TimePoint now);
   /// The key-value store has confirmed that the lease is still valid.
   void onConfirmed() { AreReportsStale = false; }
   /// The agent of \p rank has reported to this coordinator.
--- a/include/ospreyspur/Experts/PlacementPlanner.h
+++ b/include/ospreyspur/Experts/PlacementPlanner.h
@@ -46,11 +46,11 @@
   explicit PlacementPlanner(PlacementLimits limits) : Limits(limits) {}
 
   /// The placement that follows \p current for \p demand, which has the same
-  /// number of experts for each set. \p paces gives the slowdown of each rank;
-  /// empty if all ranks run at normal speed.
+  /// number of experts for each set. \p slowdowns gives the slowdown of each
+  /// rank; empty if all ranks run at normal speed.
   PlacementPlan plan(const GroupPlacement &current,
                      const std::vector<double> &demand,
-                     const std::vector<double> &paces = {}) const;
+                     const std::vector<double> &slowdowns = {}) const;
 
 private:
   PlacementLimits Limits;
--- a/include/ospreyspur/Experts/RankStatus.h
+++ b/include/ospreyspur/Experts/RankStatus.h
@@ -28,7 +28,7 @@
 
 /// When a rank's engine started, in ms of wall-clock time; 0 if not reported.
 /// Distinguishes the incarnations of the engine.
-using RankLife = StrongType<struct RankLifeTag, std::uint64_t>;
+using RankIncarnation = StrongType<struct RankIncarnationTag, std::uint64_t>;
 
 /// A map to which a rank will switch when a step begins.
 struct ArmedMap {
@@ -41,7 +41,7 @@
 /// One rank's own view at the time of its report.
 struct RankStatus {
   GroupId Group;
-  RankLife Life;
+  RankIncarnation Incarnation;
   FormationEpoch Formation;
   /// Counted from 0.
   unsigned Rank = 0;
@@ -63,9 +63,9 @@
   std::vector<std::uint64_t> Counts;
   /// How often each expert was chosen since the previous report; empty if the
   /// report contains no sample.
-  std::vector<std::uint32_t> Picks;
+  std::vector<std::uint32_t> SampledCounts;
   /// Slowdown of the rank; 1 is normal speed.
-  double Pace = 1;
+  double Slowdown = 1;
   /// The experts that the rank holds under Map; empty if reported before.
   RankPlacement Placement;
   /// The address at which the rank accepts orders; set by the agent on its
--- a/include/ospreyspur/Experts/SetPlacement.h
+++ b/include/ospreyspur/Experts/SetPlacement.h
@@ -30,10 +30,10 @@
 class SetPlacement {
 public:
   /// \p ranks holds each rank's experts, \p demand the demand for each expert
-  /// and \p paces the slowdown of each rank; empty if all ranks run at normal
-  /// speed.
+  /// and \p slowdowns the slowdown of each rank; empty if all ranks run at
+  /// normal speed.
   SetPlacement(std::vector<std::vector<ExpertNumber>> ranks,
-               std::vector<double> demand, std::vector<double> paces = {});
+               std::vector<double> demand, std::vector<double> slowdowns = {});
 
   /// The copy with the highest gain to a rank for which \p mayTake returns
   /// true; none if no copy has a gain. No rank holds more than \p places
@@ -62,7 +62,7 @@
 
   std::vector<std::vector<ExpertNumber>> Ranks;
   std::vector<double> Demand;
-  std::vector<double> Paces;
+  std::vector<double> Slowdowns;
   /// The ranks that hold each expert.
   std::vector<std::vector<unsigned>> Holders;
   struct SavedLoad {
--- a/include/ospreyspur/Experts/StatusFilter.h
+++ b/include/ospreyspur/Experts/StatusFilter.h
@@ -21,8 +21,8 @@
 /// Filters the states of one rank.
 class StatusFilter {
 public:
-  /// Less than half of ReachPlanner::AgentTimeout, the silence after which a
-  /// coordinator reads a rank directly.
+  /// Less than half of DirectReadPlanner::AgentTimeout, the silence after which
+  /// a coordinator reads a rank directly.
   static constexpr Duration Heartbeat = std::chrono::milliseconds(180);
 
   /// The report to send to the coordinator at \p address for \p status, if any.
--- a/include/ospreyspur/Http/EndpointPool.h
+++ b/include/ospreyspur/Http/EndpointPool.h
@@ -49,7 +49,7 @@
 
   /// Removes and returns an idle connection to the endpoint \p id; null if none
   /// is open and within its time.
-  Connection takeKept(const EndpointId &id, TimePoint now);
+  Connection takeIdle(const EndpointId &id, TimePoint now);
   /// Opens a new connection; null if connecting fails or exceeds \p timeout.
   boost::asio::awaitable<Connection> connect(TcpAddress address,
                                              Duration timeout);
--- a/include/ospreyspur/Http/HttpClient.h
+++ b/include/ospreyspur/Http/HttpClient.h
@@ -25,7 +25,7 @@
 namespace ospreyspur {
 
 /// Whether call() may send a request a second time.
-enum class Repetition : std::uint8_t {
+enum class ResendPolicy : std::uint8_t {
   Never,
   /// The request is sent again at once on a new connection if an idle
   /// connection closed before the first byte of the response. For requests that
@@ -34,14 +34,14 @@
 };
 
 /// Status and headers of a streamed response.
-struct HttpRunHead {
+struct HttpResponseHead {
   unsigned Status = 0;
   const boost::beast::http::fields &Fields;
 };
 
 /// Receives a streamed response.
 struct HttpSink {
-  std::function<void(const HttpRunHead &)> OnHead;
+  std::function<void(const HttpResponseHead &)> OnHead;
   std::function<void(std::string_view data)> OnData;
 };
 
@@ -66,7 +66,7 @@
   /// (the request was not sent) or PlatformTimeout (it may have arrived).
   boost::asio::awaitable<Result<HttpResponse>>
   call(HttpRequest request, Duration timeout,
-       Repetition repetition = Repetition::Never);
+       ResendPolicy resendPolicy = ResendPolicy::Never);
 
   /// Sends \p request on a new connection and streams the response to \p sink.
   /// Returns Ok if the response was complete, EndpointUnreachable if the
--- a/include/ospreyspur/Http/HttpExchange.h
+++ b/include/ospreyspur/Http/HttpExchange.h
@@ -53,7 +53,7 @@
   /// Calls \p onDisconnect once if the client closes its connection before the
   /// handler has returned. A client that has sent data after this request is
   /// not watched.
-  void watchHangUp(std::function<void()> onDisconnect);
+  void watchDisconnect(std::function<void()> onDisconnect);
   /// Sends a part of a streamed response.
   boost::asio::awaitable<bool> writeStream(std::string data);
   /// Marks the end of a complete streamed response.
@@ -61,7 +61,7 @@
   /// Closes the connection after the handler returns, without marking the end
   /// of the response, so that the client detects that the response is
   /// incomplete.
-  void cut() { MustClose = true; }
+  void abort() { MustClose = true; }
   /// Sends "Connection: close" with the response. Must be called before the
   /// response begins.
   void closeAfterResponse() { MustClose = true; }
--- a/include/ospreyspur/Http/HttpServer.h
+++ b/include/ospreyspur/Http/HttpServer.h
@@ -43,7 +43,7 @@
   void setLimits(const HttpLimits &limits);
 
   /// Sends "Connection: close" with every response from now on.
-  void closeAfterAnswers();
+  void closeAfterResponses();
 
   /// Accepts the connections that clients have already opened, then no more,
   /// and closes connections that are idle between two requests.
--- a/include/ospreyspur/Ledger/Ledger.h
+++ b/include/ospreyspur/Ledger/Ledger.h
@@ -33,7 +33,7 @@
   /// Maximum number of records of any kind.
   std::size_t MaxRecords = 100000;
   /// Maximum size of all stored responses, in bytes.
-  std::size_t MaxAnswerBytes = 64U << 20U;
+  std::size_t MaxResponseBytes = 64U << 20U;
   /// How long the record of a started request is kept after its end.
   Duration Retention = std::chrono::minutes(10);
   /// How long the response to a repeatable request is kept after its end.
@@ -77,7 +77,7 @@
   void finish(RequestId id, ResultCode code, TimePoint now);
 
   /// Appends to the response of a running request. Errors: AnswerTooLarge if
-  /// the data would exceed MaxAnswerBytes; the data is not appended then.
+  /// the data would exceed MaxResponseBytes; the data is not appended then.
   ResultCode append(RequestId id, std::string_view data);
 
   /// Drops records and responses whose retention has ended at \p now.
--- a/include/ospreyspur/Ledger/StoredResponse.h
+++ b/include/ospreyspur/Ledger/StoredResponse.h
@@ -29,7 +29,7 @@
   bool Dropped = false;
   ResultCode Code = ResultCode::Ok;
   /// The endpoint's incarnation that ran the request.
-  EngineLife EndpointIncarnation;
+  EngineIncarnation EndpointIncarnation;
 
   /// The offset just after the last byte.
   std::uint64_t end() const { return BaseOffset + Body.size(); }
--- a/include/ospreyspur/Platform/KeyValue.h
+++ b/include/ospreyspur/Platform/KeyValue.h
@@ -41,10 +41,10 @@
   Duration Lease{};
 };
 
-/// Renews the lease of a key if the key still has revision \c Holder.
+/// Renews the lease of a key if the key still has revision \c WrittenRevision.
 struct KvRenew {
   std::string Key;
-  Revision Holder;
+  Revision WrittenRevision;
 };
 
 /// Waits, up to \c Wait, until a key has a revision above \c After, which is
--- a/include/ospreyspur/Platform/PlatformClient.h
+++ b/include/ospreyspur/Platform/PlatformClient.h
@@ -37,7 +37,7 @@
   /// The lease of a key that this client wrote.
   struct HeldLease {
     /// The key's revision after the client's write.
-    Revision Holder;
+    Revision WrittenRevision;
     platform::StoreLease Lease;
   };
 
--- a/include/ospreyspur/Process/AgentTraffic.h
+++ b/include/ospreyspur/Process/AgentTraffic.h
@@ -56,7 +56,7 @@
   /// Number of requests still running, and whether all linked entries have
   /// confirmed that the endpoint is leaving.
   StopProgress stopProgress() const {
-    return {Node.runningCount(), Node.isLeavingSeen()};
+    return {Node.runningCount(), Node.isLeavingConfirmed()};
   }
 
 private:
@@ -68,7 +68,7 @@
   boost::asio::awaitable<void> run(StartRun order,
                                    std::shared_ptr<HttpRunHandle> handle);
   boost::asio::awaitable<void> awaitExit();
-  void takePushback(RequestId id, const HttpRunHead &head);
+  void takePushback(RequestId id, const HttpResponseHead &head);
   boost::asio::awaitable<ResultCode> classifyFailure(RequestId id);
 
   boost::asio::io_context &Context;
--- a/include/ospreyspur/Process/CrashLog.h
+++ b/include/ospreyspur/Process/CrashLog.h
@@ -8,7 +8,7 @@
 #ifndef OSPREYSPUR_PROCESS_CRASHLOG_H
 #define OSPREYSPUR_PROCESS_CRASHLOG_H
 
-#include "ospreyspur/Quarantine/CrashNote.h"
+#include "ospreyspur/Quarantine/CrashLogRecord.h"
 #include "ospreyspur/Support/Metrics.h"
 
 #include <vector>
@@ -17,7 +17,7 @@
 
 /// Logs and counts \p records, and sets the metric of the number of records in
 /// \p tracker.
-void logCrashes(const std::vector<CrashNote> &records,
+void logCrashes(const std::vector<CrashLogRecord> &records,
                 const CrashTracker &tracker, Metrics &metrics);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Process/DirectAttempt.h
+++ b/include/ospreyspur/Process/DirectAttempt.h
@@ -8,7 +8,7 @@
 #ifndef OSPREYSPUR_PROCESS_DIRECTATTEMPT_H
 #define OSPREYSPUR_PROCESS_DIRECTATTEMPT_H
 
-#include "ospreyspur/Direct/EndpointAnswer.h"
+#include "ospreyspur/Direct/EndpointResponse.h"
 #include "ospreyspur/Http/HttpExchange.h"
 #include "ospreyspur/Process/DirectCall.h"
 #include "ospreyspur/Process/HostTimer.h"
@@ -31,7 +31,7 @@
   std::function<void(const Pushback &, std::optional<TimePoint> sentAt)> OnHead;
   /// A part of the response was received.
   std::function<void()> OnData;
-  /// Nothing was received for StartAttempt::Silence. Called again each time
+  /// Nothing was received for StartAttempt::MaxIdleTime. Called again each time
   /// that this period passes once more without data.
   std::function<void()> OnIdle;
 };
@@ -83,7 +83,7 @@
   std::optional<TimePoint> ReadingSince;
   TimePoint SentAt;
   std::optional<Parser> Response;
-  EndpointAnswer Head;
+  EndpointResponse Head;
   ConnectionEnd ClosedBy = ConnectionEnd::Ours;
   HttpResponse CallerHead;
 };
--- a/include/ospreyspur/Process/DirectCall.h
+++ b/include/ospreyspur/Process/DirectCall.h
@@ -9,7 +9,7 @@
 #define OSPREYSPUR_PROCESS_DIRECTCALL_H
 
 #include "ospreyspur/Direct/DirectActions.h"
-#include "ospreyspur/Direct/EventCutter.h"
+#include "ospreyspur/Direct/EventSplitter.h"
 #include "ospreyspur/Http/EndpointPool.h"
 #include "ospreyspur/Http/Mailbox.h"
 #include "ospreyspur/Pushback/Pushback.h"
@@ -26,7 +26,7 @@
 
 /// An event that resumes the coroutine of a request.
 using DirectEvent =
-    std::variant<StartAttempt, EndCall, PassOnAnswer, CallerGone>;
+    std::variant<StartAttempt, EndCall, ForwardResponse, CallerGone>;
 
 /// The state of one request in DirectTraffic.
 struct DirectCall {
@@ -40,7 +40,7 @@
   /// The connection of the running attempt; null between attempts.
   EndpointConnection *Connection = nullptr;
   bool IsCallerGone = false;
-  EventCutter Events;
+  EventSplitter Events;
   /// Whether the complete response has been sent. Status does not show this: a
   /// response that reports a failed run sets it, too, and is held back while
   /// other endpoints are tried.
--- a/include/ospreyspur/Process/DirectTraffic.h
+++ b/include/ospreyspur/Process/DirectTraffic.h
@@ -43,11 +43,11 @@
   /// Starts the retry budget, which is shared with earlier incarnations of this
   /// process and with listed entries from which no report has been received.
   /// Call once, when the process starts.
-  void beginLife() { Node.beginLife(monotonicNow()); }
-  void setRetries(const RetryBounds &bounds) { Node.setRetries(bounds); }
+  void onProcessStarted() { Node.onProcessStarted(monotonicNow()); }
+  void setRetries(const RetryLimits &limits) { Node.setRetries(limits); }
   /// From now on responses close their connections, so that callers connect to
   /// another entry.
-  void announceStop() { Server.closeAfterAnswers(); }
+  void announceStop() { Server.closeAfterResponses(); }
   /// Refuses further requests; requests in flight continue.
   void stopAccepting();
   std::size_t busyCount() const { return Server.busyCount(); }
@@ -61,7 +61,7 @@
   boost::asio::awaitable<void> attempt(HttpExchange &exchange, DirectCall &call,
                                        StartAttempt order);
   void apply(DirectActions actions);
-  void perform(AskEndpoint &action);
+  void perform(QueryEndpoint &action);
   void perform(CheckEndpoint &action);
   void perform(StopAttempt &action);
   /// Passes an action of a call to the call's coroutine.
@@ -72,7 +72,8 @@
   }
   boost::asio::awaitable<void> queryStatus(EndpointRecord endpoint);
   boost::asio::awaitable<void> checkEndpoint(EndpointRecord endpoint);
-  boost::asio::awaitable<EndpointFate> findLiveness(EndpointRecord endpoint);
+  boost::asio::awaitable<EndpointLiveness>
+  findLiveness(EndpointRecord endpoint);
   void takeReport(const LoadReport &report);
   void takePushback(const EndpointId &id, const Pushback &pushback,
                     std::optional<TimePoint> sentAt);
--- a/include/ospreyspur/Process/EntryTraffic.h
+++ b/include/ospreyspur/Process/EntryTraffic.h
@@ -37,7 +37,7 @@
   void setSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot);
 
   /// From now on responses close their connections; requests are still served.
-  void announceStop() { Server.closeAfterAnswers(); }
+  void announceStop() { Server.closeAfterResponses(); }
 
   /// Accepts no new connections; requests already received are served.
   void stopAccepting() { Server.stopAccepting(); }
@@ -53,7 +53,7 @@
                                              Inbox &inbox, CallId id);
   void apply(EntryActions actions);
   void perform(const SendToAgent &action);
-  void perform(CallPlatform action);
+  void perform(CallKeyValueStore action);
   template <typename ResponsePart> void perform(ResponsePart action);
   void finishCall(CallId id, ResultCode code, TimePoint began);
   void reportCrashes();
--- a/include/ospreyspur/Process/LivenessCheck.h
+++ b/include/ospreyspur/Process/LivenessCheck.h
@@ -8,7 +8,7 @@
 #ifndef OSPREYSPUR_PROCESS_LIVENESSCHECK_H
 #define OSPREYSPUR_PROCESS_LIVENESSCHECK_H
 
-#include "ospreyspur/Quarantine/EndpointFate.h"
+#include "ospreyspur/Quarantine/EndpointLiveness.h"
 #include "ospreyspur/Support/Address.h"
 #include "ospreyspur/Support/Time.h"
 
@@ -28,12 +28,12 @@
 /// Whether the process of the endpoint at \p address has exited. Without
 /// \p isSameIncarnation, an endpoint that keeps a connection open counts as
 /// alive.
-boost::asio::awaitable<EndpointFate>
+boost::asio::awaitable<EndpointLiveness>
 checkLiveness(boost::asio::io_context &ioc, TcpAddress address,
               IncarnationCheck isSameIncarnation = nullptr);
 
 /// The name of \p liveness in logs and metrics.
-const char *toString(EndpointFate liveness);
+const char *toString(EndpointLiveness liveness);
 
 /// Keeps a connection to \p address open until the other side closes it, or for
 /// \p limit. Waits a short time before it returns, also if the connection
--- a/include/ospreyspur/Process/PushbackLog.h
+++ b/include/ospreyspur/Process/PushbackLog.h
@@ -8,9 +8,9 @@
 #ifndef OSPREYSPUR_PROCESS_PUSHBACKLOG_H
 #define OSPREYSPUR_PROCESS_PUSHBACKLOG_H
 
-#include "ospreyspur/Pushback/ClosedEndpoints.h"
+#include "ospreyspur/Pushback/ExcludedEndpoints.h"
 #include "ospreyspur/Pushback/Pushback.h"
-#include "ospreyspur/Pushback/RateLimitNote.h"
+#include "ospreyspur/Pushback/RateLimitLogRecord.h"
 #include "ospreyspur/Support/Ids.h"
 #include "ospreyspur/Support/Metrics.h"
 
@@ -26,18 +26,18 @@
 
 /// Logs changes of advertised rate limits. \p nameOf returns an endpoint's
 /// name; \p limitedCount is the number of endpoints that have a rate limit now.
-void logRateLimits(const std::vector<RateLimitNote> &records,
-                   const std::function<EndpointId(LifeDigest)> &nameOf,
+void logRateLimits(const std::vector<RateLimitLogRecord> &records,
+                   const std::function<EndpointId(IncarnationDigest)> &nameOf,
                    std::size_t limitedCount, Metrics &metrics);
 
 /// Logs backoffs; \p backoffCount is the number of endpoints in backoff now.
-void logBackoffs(const std::vector<RestNote> &records,
-                 const std::function<EndpointId(LifeDigest)> &nameOf,
+void logBackoffs(const std::vector<BackoffLogRecord> &records,
+                 const std::function<EndpointId(IncarnationDigest)> &nameOf,
                  std::size_t backoffCount, Metrics &metrics);
 
 /// Logs the endpoint incarnations that have reported that they are leaving.
-void logLeaving(const std::vector<LifeDigest> &incarnations,
-                const std::function<EndpointId(LifeDigest)> &nameOf,
+void logLeaving(const std::vector<IncarnationDigest> &incarnations,
+                const std::function<EndpointId(IncarnationDigest)> &nameOf,
                 Metrics &metrics);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Process/RankAgent.h
+++ b/include/ospreyspur/Process/RankAgent.h
@@ -16,13 +16,13 @@
 #include "ospreyspur/Experts/CoordinatorWatch.h"
 #include "ospreyspur/Experts/DemandMeter.h"
 #include "ospreyspur/Experts/DemandSampler.h"
+#include "ospreyspur/Experts/DirectReadPlanner.h"
 #include "ospreyspur/Experts/LeaseHolder.h"
 #include "ospreyspur/Experts/MapDelta.h"
+#include "ospreyspur/Experts/MapOrderQueue.h"
 #include "ospreyspur/Experts/MapSwitch.h"
 #include "ospreyspur/Experts/MemberConsent.h"
-#include "ospreyspur/Experts/OrderLane.h"
 #include "ospreyspur/Experts/PlacementPlanner.h"
-#include "ospreyspur/Experts/ReachPlanner.h"
 #include "ospreyspur/Experts/StallWatch.h"
 #include "ospreyspur/Experts/StatusFilter.h"
 #include "ospreyspur/Platform/PlatformClient.h"
@@ -121,7 +121,7 @@
   SwitchPhase LoggedPhase = SwitchPhase::Idle;
   DemandMeter Demand;
   /// The parameters of the service's engine, once read.
-  std::optional<EngineFigures> EngineSettings;
+  std::optional<EngineCosts> EngineSettings;
   /// When this coordinator last had current reports of all ranks.
   TimePoint CompleteAt;
   TimePoint NextSettingsRead;
@@ -131,15 +131,15 @@
   std::map<unsigned, LinkId> Links;
   /// The maps that were sent to the group's agents.
   SentMaps Sent;
-  OrderLane MapQueue;
+  MapOrderQueue MapQueue;
   /// The map that this agent last received from a coordinator.
-  ToldMap LastMap;
+  ReceivedMap LastMap;
   /// Direct links to endpoints, for ranks whose agents send no reports.
   std::map<TcpAddress, std::shared_ptr<RankLink>> DirectLinks;
   std::map<unsigned, std::shared_ptr<RankLink>> DirectRanks;
   /// Ranks to which a retry is in flight that bypasses their agent.
   std::set<unsigned> RetriesInFlight;
-  ReachPlanner DirectReads;
+  DirectReadPlanner DirectReads;
   NodeTimer Timer;
   NodeTimer LeaseTimer;
   NodeTimer OrderTimer;
--- a/include/ospreyspur/Process/RankLink.h
+++ b/include/ospreyspur/Process/RankLink.h
@@ -42,7 +42,8 @@
   HttpClient Client;
   /// The placement as last read, and the map that it belongs to.
   RankPlacement Placement;
-  std::optional<std::tuple<RankLife, FormationEpoch, MapVersion>> PlacementOf;
+  std::optional<std::tuple<RankIncarnation, FormationEpoch, MapVersion>>
+      PlacementOf;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Pushback/Pushback.h
+++ b/include/ospreyspur/Pushback/Pushback.h
@@ -18,7 +18,7 @@
 namespace ospreyspur {
 
 /// Longer backoffs are shortened to this time.
-inline constexpr Duration MaxRest = std::chrono::hours(1);
+inline constexpr Duration MaxBackoff = std::chrono::hours(1);
 
 /// The load hints of one response. A header value that cannot be parsed has no
 /// effect.
@@ -27,8 +27,8 @@
   /// from all entries together; empty if the response has none.
   std::optional<double> RequestsPerSecond;
   /// The backoff for the process whose request was refused; empty if the
-  /// response has none. At most MaxRest.
-  std::optional<Duration> Rest;
+  /// response has none. At most MaxBackoff.
+  std::optional<Duration> Backoff;
   /// Whether the endpoint is leaving: its current incarnation accepts no new
   /// request from any process.
   bool IsLeaving = false;
--- a/include/ospreyspur/Pushback/RateLimits.h
+++ b/include/ospreyspur/Pushback/RateLimits.h
@@ -16,8 +16,8 @@
 #ifndef OSPREYSPUR_PUSHBACK_RATELIMITS_H
 #define OSPREYSPUR_PUSHBACK_RATELIMITS_H
 
-#include "ospreyspur/Pushback/RateLimitNote.h"
-#include "ospreyspur/Pushback/RateLimitRow.h"
+#include "ospreyspur/Pushback/RateLimitLogRecord.h"
+#include "ospreyspur/Pushback/RateLimitRecord.h"
 #include "ospreyspur/Pushback/TokenBucket.h"
 
 #include <cstddef>
@@ -66,52 +66,55 @@
   void setMembers(FleetMembers members, TimePoint now);
   /// Applies the limit \p perSecond, empty for none, from a response of
   /// \p incarnation to a request that was sent at \p sentAt.
-  void onAnswer(LifeDigest incarnation, std::optional<double> perSecond,
-                TimePoint sentAt, TimePoint now);
+  void onResponse(IncarnationDigest incarnation,
+                  std::optional<double> perSecond, TimePoint sentAt,
+                  TimePoint now);
   /// Merges another entry's report. Records of incarnations for which
   /// \p isKnown returns false are ignored.
   template <typename Predicate>
-  void merge(const std::vector<RateLimitRow> &rows, const Predicate &isKnown,
-             TimePoint now) {
-    for (const RateLimitRow &it : rows)
-      if (isKnown(it.Life))
+  void merge(const std::vector<RateLimitRecord> &records,
+             const Predicate &isKnown, TimePoint now) {
+    for (const RateLimitRecord &it : records)
+      if (isKnown(it.Incarnation))
         mergeRecord(it, now);
   }
   /// Returns the records to announce to the other entries now.
-  std::vector<RateLimitRow> takeReport(TimePoint now);
+  std::vector<RateLimitRecord> takeReport(TimePoint now);
   /// Announces the limits for which this entry is among the first owners once
   /// more, as another entry has started. Has no effect if the last call was
   /// less than NewEntryAnnounceInterval ago.
-  void tellAgain(TimePoint now);
+  void announceToNewEntry(TimePoint now);
   /// Takes a token for one request to \p incarnation. Returns false if the
   /// limit leaves this entry none now.
-  bool take(LifeDigest incarnation, TimePoint now);
+  bool take(IncarnationDigest incarnation, TimePoint now);
   /// Returns the changes since the last call, for the log.
-  std::vector<RateLimitNote> takeNotes() { return std::exchange(Notes, {}); }
+  std::vector<RateLimitLogRecord> takeLogRecords() {
+    return std::exchange(LogRecords, {});
+  }
 
   // Queries.
 
-  bool hasNotes() const { return !Notes.empty(); }
+  bool hasLogRecords() const { return !LogRecords.empty(); }
   /// Whether a rate limit of \p incarnation is in force.
-  bool isLimited(LifeDigest incarnation) const;
+  bool isLimited(IncarnationDigest incarnation) const;
   /// Whether \p incarnation has advertised a rate limit recently, be it in
   /// force or lifted.
-  bool isKnown(LifeDigest incarnation) const {
+  bool isKnown(IncarnationDigest incarnation) const {
     return Limits.contains(incarnation);
   }
   /// Whether take() would succeed.
-  bool hasRoom(LifeDigest incarnation, TimePoint now) const;
+  bool hasCapacity(IncarnationDigest incarnation, TimePoint now) const;
   /// The number of requests that this entry may send to \p incarnation from
   /// \p now until \p until, if \p incarnation is limited.
-  double roomUntil(LifeDigest incarnation, TimePoint now,
-                   TimePoint until) const;
+  double capacityUntil(IncarnationDigest incarnation, TimePoint now,
+                       TimePoint until) const;
   /// The rate limit of \p incarnation in requests per second; 0 if it has none.
-  double namedRate(LifeDigest incarnation) const;
+  double advertisedRate(IncarnationDigest incarnation) const;
   /// The number of entries that share a limit, including this one.
   std::size_t memberCount() const { return Members.Others.size() + 1; }
   /// The earliest time at which this entry may send to a limited endpoint to
   /// which it may not send now.
-  std::optional<TimePoint> nextRoom(TimePoint now) const;
+  std::optional<TimePoint> nextCapacityAt(TimePoint now) const;
   /// The number of endpoints whose limit is in force.
   std::size_t limitedCount() const;
   bool isEmpty() const { return Limits.empty(); }
@@ -142,7 +145,7 @@
 
   /// Upper estimate of the time from sending a report to its arrival.
   static constexpr Duration ReportDelay = std::chrono::milliseconds(100);
-  static constexpr std::size_t MaxNotes = 64;
+  static constexpr std::size_t MaxLogRecords = 64;
   /// The number of entries that announce a limit again when another entry
   /// starts.
   static constexpr std::size_t NewEntryAnnouncers = 2;
@@ -152,17 +155,18 @@
 
   static bool isStricter(const std::optional<double> &a,
                          const std::optional<double> &b);
-  void mergeRecord(const RateLimitRow &row, TimePoint now);
-  bool apply(LifeDigest incarnation, const LimitUpdate &update, bool isFromPeer,
-             TimePoint now);
-  void updateShare(LifeDigest incarnation, Limit &limit, TimePoint now) const;
+  void mergeRecord(const RateLimitRecord &record, TimePoint now);
+  bool apply(IncarnationDigest incarnation, const LimitUpdate &update,
+             bool isFromPeer, TimePoint now);
+  void updateShare(IncarnationDigest incarnation, Limit &limit,
+                   TimePoint now) const;
   static bool isOwner(const Limit &limit, TimePoint now);
   static std::optional<TimePoint> nextRoomOf(const Limit &limit, TimePoint now);
-  const Limit *findActive(LifeDigest incarnation) const;
+  const Limit *findActive(IncarnationDigest incarnation) const;
 
   FleetMembers Members;
-  std::unordered_map<LifeDigest, Limit> Limits;
-  std::vector<RateLimitNote> Notes;
+  std::unordered_map<IncarnationDigest, Limit> Limits;
+  std::vector<RateLimitLogRecord> LogRecords;
   TimePoint NewEntryAnnouncedAt;
 };
 
--- a/include/ospreyspur/Quarantine/CrashNote.h
+++ b/include/ospreyspur/Quarantine/CrashLogRecord.h
@@ -1,12 +1,12 @@
-//===- CrashNote.h - log record of a suspect request ------------*- C++ -*-===//
+//===- CrashLogRecord.h - log record of a suspect request -------*- C++ -*-===//
 //
 // The log record of a request that was running on an endpoint that crashed: the
 // request is suspect or quarantined.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_QUARANTINE_CRASHNOTE_H
-#define OSPREYSPUR_QUARANTINE_CRASHNOTE_H
+#ifndef OSPREYSPUR_QUARANTINE_CRASHLOGRECORD_H
+#define OSPREYSPUR_QUARANTINE_CRASHLOGRECORD_H
 
 #include "ospreyspur/Quarantine/CrashTracker.h"
 
@@ -15,7 +15,7 @@
 namespace ospreyspur {
 
 /// One verdict on a request.
-struct CrashNote {
+struct CrashLogRecord {
   RequestDigest Request;
   /// The caller's label for the attempt; empty if the attempt ran at another
   /// entry.
@@ -27,11 +27,11 @@
   /// the probability that an innocent request meets as many crashes.
   unsigned Crashes = 0;
   double Chance = 1;
-  CrashStanding Standing = CrashStanding::Unknown;
+  CrashVerdict Verdict = CrashVerdict::Unknown;
   /// Whether another entry reported the verdict.
-  bool IsTold = false;
+  bool IsFromPeer = false;
 };
 
 } // namespace ospreyspur
 
-#endif // OSPREYSPUR_QUARANTINE_CRASHNOTE_H
+#endif // OSPREYSPUR_QUARANTINE_CRASHLOGRECORD_H
--- a/include/ospreyspur/Quarantine/CrashReport.h
+++ b/include/ospreyspur/Quarantine/CrashReport.h
@@ -19,25 +19,26 @@
 
 /// Identifies one incarnation of an endpoint. Callers can't influence these
 /// ids.
-using LifeDigest = StrongType<struct LifeDigestTag, std::uint64_t>;
+using IncarnationDigest =
+    StrongType<struct IncarnationDigestTag, std::uint64_t>;
 
 /// Returns the digest of the incarnation that \p id names.
-inline LifeDigest digestLife(const EndpointId &id) {
-  return LifeDigest(digest64(id.get()));
+inline IncarnationDigest digestIncarnation(const EndpointId &id) {
+  return IncarnationDigest(digest64(id.get()));
 }
 
 /// The crash of an incarnation that was running a request. Times are sent as
 /// ages, as entries have no common clock.
-struct CrashTold {
-  LifeDigest Life;
+struct ReportedCrash {
+  IncarnationDigest Incarnation;
   Duration Age{};
   Duration Ran{};
 };
 
 /// The record of one request at the sending entry.
-struct CrashRow {
+struct CrashRecord {
   RequestDigest Request;
-  std::vector<CrashTold> Crashes;
+  std::vector<ReportedCrash> Crashes;
   /// The number of endpoints of the request's service.
   std::size_t Endpoints = 1;
   /// Time since the request was last received.
@@ -48,17 +49,17 @@
 
 /// An attempt of a suspect request by the sending entry, and the incarnation
 /// that runs it.
-struct SuspectRun {
+struct SuspectAttempt {
   RequestDigest Request;
-  LifeDigest Life;
+  IncarnationDigest Incarnation;
 };
 
 /// The crash records and the suspect attempts of one report.
 struct CrashReport {
-  std::vector<CrashRow> Rows;
-  std::vector<SuspectRun> Runs;
+  std::vector<CrashRecord> Records;
+  std::vector<SuspectAttempt> SuspectAttempts;
 
-  bool isEmpty() const { return Rows.empty() && Runs.empty(); }
+  bool isEmpty() const { return Records.empty() && SuspectAttempts.empty(); }
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Quarantine/CrashTracker.h
+++ b/include/ospreyspur/Quarantine/CrashTracker.h
@@ -35,13 +35,14 @@
 struct CrashLimits {
   /// Most requests in the table. The one with the least evidence is evicted
   /// first, among equals the one that was received longest ago.
-  std::size_t MaxRows = 256;
+  std::size_t MaxRecords = 256;
   /// Most crashed incarnations in the table. The oldest is evicted first.
   std::size_t MaxIncarnations = 512;
   /// How long a request is kept after it was last received or an endpoint last
   /// crashed under it.
-  Duration KeepRows = std::chrono::minutes(10);
-  /// How long a cleared request is told, so that no late row revives it.
+  Duration KeepRecords = std::chrono::minutes(10);
+  /// How long a cleared request is announced, so that no late record revives
+  /// it.
   Duration KeepCleared = std::chrono::seconds(20);
   /// A request is quarantined at this number of crashes, however many other
   /// endpoints crash. On the platform a request has two attempts and is sent
@@ -63,7 +64,7 @@
   Duration MinAttemptTime = std::chrono::milliseconds(250);
   /// A new record is announced in this many consecutive reports, as datagrams
   /// may be lost.
-  unsigned Tellings = 3;
+  unsigned Announcements = 3;
   /// Records of quarantined requests and of requests with two crashes or more
   /// are announced again in rotation. The interval between two such reports of
   /// an entry is RefreshEvery times the number of entries. Whatever the size of
@@ -79,7 +80,7 @@
 };
 
 /// The verdict on a request.
-enum class CrashStanding : std::uint8_t {
+enum class CrashVerdict : std::uint8_t {
   Unknown,
   /// At least one endpoint crashed while it ran the request.
   Suspect,
@@ -96,18 +97,18 @@
 
   /// Records that \p incarnation crashed after it had run \p request for
   /// \p ran. The request's service has \p endpoints endpoints.
-  void onCrash(RequestDigest request, LifeDigest incarnation, Duration ran,
-               std::size_t endpoints, TimePoint now);
+  void onCrash(RequestDigest request, IncarnationDigest incarnation,
+               Duration ran, std::size_t endpoints, TimePoint now);
   /// Clears \p request, as it got a complete response.
-  void onWhole(RequestDigest request, TimePoint now);
+  void onCompleteResponse(RequestDigest request, TimePoint now);
   /// Records that \p request was received.
-  void onSeen(RequestDigest request, TimePoint now);
+  void onReceived(RequestDigest request, TimePoint now);
   /// Decides on all requests whose verdict is due. Returns those that are
   /// quarantined now.
-  std::vector<RequestDigest> judge(TimePoint now);
+  std::vector<RequestDigest> updateVerdicts(TimePoint now);
   /// Decides on all requests with a pending verdict without waiting. For use
   /// while there is no other entry.
-  std::vector<RequestDigest> judgeAll(TimePoint now);
+  std::vector<RequestDigest> updateAllVerdicts(TimePoint now);
   /// Merges a report of the entry \p peer. Returns the requests that are
   /// quarantined by it.
   std::vector<RequestDigest> merge(const std::string &peer,
@@ -116,18 +117,18 @@
   void restore(const std::vector<RequestDigest> &requests, TimePoint now);
   /// Returns the records to announce to the other entries now. \p entries is
   /// the number of entries, including this one.
-  std::vector<CrashRow> takeRows(std::size_t entries, TimePoint now);
+  std::vector<CrashRecord> takeRecords(std::size_t entries, TimePoint now);
   /// Returns all records, in reports of at most MaxReportRecords. They don't
   /// count as announced.
-  std::vector<CrashReport> allRows(TimePoint now);
+  std::vector<CrashReport> allRecords(TimePoint now);
 
   // Queries.
 
-  CrashStanding standingOf(RequestDigest request) const;
+  CrashVerdict verdictOf(RequestDigest request) const;
   /// Whether the verdict on \p request is pending.
-  bool isSettling(RequestDigest request) const;
-  /// When judge() is due next; empty if no verdict is pending.
-  std::optional<TimePoint> nextJudgement() const;
+  bool isVerdictPending(RequestDigest request) const;
+  /// When updateVerdicts() is due next; empty if no verdict is pending.
+  std::optional<TimePoint> nextVerdictAt() const;
   /// The number of incarnations that crashed while they ran \p request, since
   /// it was last cleared.
   unsigned crashesOf(RequestDigest request) const;
@@ -138,12 +139,12 @@
   bool runsElsewhere(RequestDigest request, TimePoint now) const;
   /// The incarnations on which other entries run suspect requests other than
   /// \p request.
-  std::set<LifeDigest> livesOfOthers(RequestDigest request,
-                                     TimePoint now) const;
+  std::set<IncarnationDigest> incarnationsOfOthers(RequestDigest request,
+                                                   TimePoint now) const;
   /// When \p incarnation crashed; empty if no crash is known.
-  std::optional<TimePoint> endOf(LifeDigest incarnation) const;
-  bool isEmpty() const { return Rows.empty(); }
-  std::size_t rowCount() const { return Rows.size(); }
+  std::optional<TimePoint> crashTimeOf(IncarnationDigest incarnation) const;
+  bool isEmpty() const { return Records.empty(); }
+  std::size_t recordCount() const { return Records.size(); }
   /// The quarantined requests, the most recently received ones first.
   std::vector<RequestDigest> quarantined() const;
   /// The requests that were cleared recently.
@@ -153,11 +154,11 @@
 
 private:
   struct Crash {
-    LifeDigest Life;
+    IncarnationDigest Incarnation;
     TimePoint At;
     Duration Ran{};
   };
-  struct Row {
+  struct Record {
     std::vector<Crash> Crashes;
     std::size_t Endpoints = 1;
     TimePoint SeenAt;
@@ -175,30 +176,30 @@
   };
   struct PeerRuns {
     TimePoint At;
-    std::vector<SuspectRun> Runs;
+    std::vector<SuspectAttempt> SuspectAttempts;
   };
 
-  Row &rowOf(RequestDigest request, TimePoint now);
+  Record &recordOf(RequestDigest request, TimePoint now);
   void evictIfFull(TimePoint now);
-  bool addCrash(Row &row, const Crash &crash);
-  void addIncarnation(LifeDigest incarnation, TimePoint at);
-  bool hasEnoughEvidence(RequestDigest request, const Row &row,
+  bool addCrash(Record &record, const Crash &crash);
+  void addIncarnation(IncarnationDigest incarnation, TimePoint at);
+  bool hasEnoughEvidence(RequestDigest request, const Record &record,
                          TimePoint now) const;
   std::vector<RequestDigest> updateDueVerdicts(std::optional<TimePoint> due,
                                                TimePoint now);
-  void attributeCrashes(RequestDigest request, const Row &row);
-  bool hasCoincidentRequest(RequestDigest request, const Row &row) const;
-  double chanceOf(const Row &row, TimePoint now) const;
-  bool mergeRecord(const CrashRow &in, TimePoint now);
-  void clear(Row &row, TimePoint at);
-  void refresh(std::vector<CrashRow> &out, TimePoint now);
+  void attributeCrashes(RequestDigest request, const Record &record);
+  bool hasCoincidentRequest(RequestDigest request, const Record &record) const;
+  double chanceOf(const Record &record, TimePoint now) const;
+  bool mergeRecord(const CrashRecord &in, TimePoint now);
+  void clear(Record &record, TimePoint at);
+  void refresh(std::vector<CrashRecord> &out, TimePoint now);
   void expire(TimePoint now);
-  CrashRow makeRecord(RequestDigest request, const Row &row,
-                      TimePoint now) const;
+  CrashRecord makeRecord(RequestDigest request, const Record &record,
+                         TimePoint now) const;
 
   CrashLimits Limits;
-  std::map<RequestDigest, Row> Rows;
-  std::unordered_map<LifeDigest, CrashedIncarnation> Incarnations;
+  std::map<RequestDigest, Record> Records;
+  std::unordered_map<IncarnationDigest, CrashedIncarnation> Incarnations;
   std::map<std::string, PeerRuns> Peers;
   std::uint64_t Changes = 0;
   TimePoint RefreshAt;
--- a/include/ospreyspur/Quarantine/QuarantineStore.h
+++ b/include/ospreyspur/Quarantine/QuarantineStore.h
@@ -47,8 +47,9 @@
 
   /// Sets the requests that this entry has quarantined and those that it has
   /// cleared.
-  void setOwn(std::vector<RequestDigest> quarantined,
-              const std::vector<RequestDigest> &cleared, TimePoint now);
+  void setLocalQuarantine(std::vector<RequestDigest> quarantined,
+                          const std::vector<RequestDigest> &cleared,
+                          TimePoint now);
   /// Returns the call that is due, if any. The caller passes the reply to
   /// onReply().
   std::optional<KvCall> nextCall(TimePoint now);
--- a/include/ospreyspur/Routing/AgentNode.h
+++ b/include/ospreyspur/Routing/AgentNode.h
@@ -14,7 +14,7 @@
 
 #include "ospreyspur/Ledger/Ledger.h"
 #include "ospreyspur/Ledger/TicketIssuer.h"
-#include "ospreyspur/Pushback/ClosedEndpoints.h"
+#include "ospreyspur/Pushback/ExcludedEndpoints.h"
 #include "ospreyspur/Pushback/Pushback.h"
 #include "ospreyspur/Pushback/RateLimits.h"
 #include "ospreyspur/Quarantine/CrashRelay.h"
@@ -76,7 +76,7 @@
   AgentActions setLeaving(bool leaving, TimePoint now);
   /// The endpoint's process was found to have exited while nothing ran. The
   /// pushback of that incarnation no longer applies.
-  AgentActions onEndpointEnded(TimePoint now);
+  AgentActions onEndpointExited(TimePoint now);
   /// Replaces the fair-queueing weights, which come from the configuration.
   void setWeights(std::shared_ptr<const WorkspaceWeights> weights);
   /// Handles all timers that are due at \p now.
@@ -84,17 +84,23 @@
 
   /// Returns the log records of changes to the endpoint's advertised rate limit
   /// since the last call.
-  std::vector<RateLimitNote> takeRateNotes() { return Rates.takeNotes(); }
+  std::vector<RateLimitLogRecord> takeRateLimitLogRecords() {
+    return Rates.takeLogRecords();
+  }
   /// Returns the incarnations of the endpoint that announced since the last
   /// call that they are leaving, for the log.
-  std::vector<LifeDigest> takeLeavingNotes() {
-    return Closed.takeLeavingNotes();
+  std::vector<IncarnationDigest> takeLeavingLogRecords() {
+    return Excluded.takeLeavingLogRecords();
   }
   /// Whether the endpoint itself announced that it is leaving.
-  bool saidLeaving() const { return Closed.isLeaving(currentIncarnation()); }
+  bool hasAnnouncedLeaving() const {
+    return Excluded.isLeaving(currentIncarnation());
+  }
   /// Returns the log records of the backoffs that the endpoint requested since
   /// the last call.
-  std::vector<RestNote> takeRestNotes() { return Closed.takeNotes(); }
+  std::vector<BackoffLogRecord> takeBackoffLogRecords() {
+    return Excluded.takeLogRecords();
+  }
 
   // Queries.
 
@@ -104,10 +110,12 @@
   bool isIdle() const { return Running.empty() && Queue.size() == 0; }
   bool isLeaving() const { return IsLeaving; }
   const RateLimits &rates() const { return Rates; }
-  const ClosedEndpoints &closed() const { return Closed; }
+  const ExcludedEndpoints &excluded() const { return Excluded; }
   /// Whether the endpoint is leaving and every connected entry has confirmed
   /// this.
-  bool isLeavingSeen() const { return IsLeaving && UnconfirmedEntries.empty(); }
+  bool isLeavingConfirmed() const {
+    return IsLeaving && UnconfirmedEntries.empty();
+  }
   std::size_t runningCount() const { return Running.size(); }
   std::size_t queuedCount() const { return Queue.size(); }
   const Ledger &ledger() const { return RequestLedger; }
@@ -128,7 +136,7 @@
     std::optional<TimePoint> Started;
     std::vector<Subscriber> Subscribers;
     /// The endpoint's incarnation when the run started.
-    EngineLife EndpointIncarnation;
+    EngineIncarnation EndpointIncarnation;
   };
 
   void handle(LinkId from, const Probe &probe, TimePoint now);
@@ -144,8 +152,8 @@
   void detectPause(TimePoint now);
   Duration estimateWait(const WorkspaceId &workspace,
                         std::uint32_t priority) const;
-  LifeDigest currentIncarnation() const {
-    return LifeDigest(EndpointIncarnation.get());
+  IncarnationDigest currentIncarnation() const {
+    return IncarnationDigest(EndpointIncarnation.get());
   }
   Duration rateLimitWait() const;
   Duration remainingBackoff() const;
@@ -162,7 +170,7 @@
   void startQueued(TimePoint now);
   void withdrawQueued(RequestId id, ResultCode reason, TimePoint now);
   void endRun(RequestId id, ResultCode code, TimePoint now);
-  ResultCode recordEngineExit(EngineLife incarnation, TimePoint now);
+  ResultCode recordEngineExit(EngineIncarnation incarnation, TimePoint now);
   void stopIfUnsubscribed(RequestId id, TimePoint now);
   void send(LinkId to, Message message);
   AgentActions takeActions();
@@ -189,13 +197,13 @@
   std::set<std::pair<TimePoint, RequestId>> Deadlines;
   std::optional<TimePoint> NextExpiry;
   /// Lives of the endpoint that have ended under a run.
-  EngineLife EndpointIncarnation;
+  EngineIncarnation EndpointIncarnation;
   /// Nothing is admitted before this time, as the endpoint was found down.
   TimePoint DownUntil;
   /// The rate limit that the endpoint advertises. All its requests pass through
   /// this agent, so the agent is the endpoint's only sender.
   RateLimits Rates;
-  ClosedEndpoints Closed;
+  ExcludedEndpoints Excluded;
   CrashRelay Relay;
   /// Time of the latest input. While requests are queued, a timer provides an
   /// input every PauseCheckInterval unless the process is paused.
--- a/include/ospreyspur/Routing/EntryActions.h
+++ b/include/ospreyspur/Routing/EntryActions.h
@@ -31,7 +31,7 @@
   /// Hash of the prompt's first block; 0 for none.
   std::uint64_t Prefix = 0;
   std::uint32_t Priority = 0;
-  bool IsRepeatable = false;
+  bool IsRetryable = false;
   /// Time left until the caller's deadline.
   Duration Deadline{};
   /// The caller's Idempotency-Key header.
@@ -51,45 +51,46 @@
 };
 
 /// Begin the response to the caller.
-struct AnswerHead {
+struct ResponseHead {
   CallId Call;
   std::uint32_t Status = 0;
   std::string ContentType;
 };
 
 /// Send a part of the response to the caller.
-struct AnswerData {
+struct ResponseData {
   CallId Call;
   std::string Data;
 };
 
 /// The response to the caller is complete.
-struct AnswerEnd {
+struct ResponseEnd {
   CallId Call;
 };
 
 /// The call ends without a complete response. If the head was already sent, the
 /// response must be marked as truncated.
-struct AnswerError {
+struct ResponseError {
   CallId Call;
   ResultCode Code = ResultCode::Ok;
   Duration RetryAfter{};
 };
 
 /// Send the ticket that the caller asked for.
-struct AnswerTicket {
+struct ReturnTicket {
   CallId Call;
   Ticket Permit;
 };
 
 /// Send a request to the key-value store.
-struct CallPlatform {
+struct CallKeyValueStore {
   KvRequest Request;
 };
 
 /// One output of the entry's state machine.
-using EntryAction = std::variant<SendToAgent, AnswerHead, AnswerData, AnswerEnd,
-                                 AnswerError, AnswerTicket, CallPlatform>;
+using EntryAction =
+    std::variant<SendToAgent, ResponseHead, ResponseData, ResponseEnd,
+                 ResponseError, ReturnTicket, CallKeyValueStore>;
 using EntryActions = std::vector<EntryAction>;
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Routing/EntryNode.h
+++ b/include/ospreyspur/Routing/EntryNode.h
@@ -11,7 +11,7 @@
 #ifndef OSPREYSPUR_ROUTING_ENTRYNODE_H
 #define OSPREYSPUR_ROUTING_ENTRYNODE_H
 
-#include "ospreyspur/Quarantine/CrashNote.h"
+#include "ospreyspur/Quarantine/CrashLogRecord.h"
 #include "ospreyspur/Quarantine/CrashReporter.h"
 #include "ospreyspur/Quarantine/CrashTracker.h"
 #include "ospreyspur/Routing/Call.h"
@@ -70,7 +70,7 @@
   /// announcements.
   static CrashLimits makeRelayedCrashLimits() {
     CrashLimits limits;
-    limits.Tellings = 1;
+    limits.Announcements = 1;
     limits.RefreshEvery = std::chrono::seconds(1);
     return limits;
   }
@@ -96,7 +96,7 @@
   /// The connection to the agent of \p to was lost; messages sent on it may or
   /// may not have arrived.
   EntryActions onLinkDown(const EndpointId &to, TimePoint now);
-  /// The key-value store replied to the CallPlatform action \p id.
+  /// The key-value store replied to the CallKeyValueStore action \p id.
   EntryActions onKvReply(KvCallId id, const KvReply &reply, TimePoint now);
   /// Restores requests that were quarantined before this process started.
   EntryActions restoreQuarantine(const std::vector<RequestDigest> &requests,
@@ -107,8 +107,8 @@
   EntryActions onTimer(TimePoint now);
   /// Returns the log records of endpoint crashes that were attributed to
   /// requests, and of quarantined requests, since the last call.
-  std::vector<CrashNote> takeCrashNotes() {
-    return std::exchange(CrashNotes, {});
+  std::vector<CrashLogRecord> takeCrashLogRecords() {
+    return std::exchange(CrashLogRecords, {});
   }
 
   // Queries.
@@ -148,9 +148,9 @@
   bool mustDefer(Call &call, TimePoint now);
   void defer(Call &call, TimePoint now);
   void resume(Call &call, TimePoint now);
-  std::set<LifeDigest> endpointsOfSuspects(const Call &call,
-                                           TimePoint now) const;
-  std::vector<SuspectRun> suspectRuns() const;
+  std::set<IncarnationDigest> endpointsOfSuspects(const Call &call,
+                                                  TimePoint now) const;
+  std::vector<SuspectAttempt> suspectRuns() const;
   void sendReports(TimePoint now);
   void onStageTimer(Call &call, TimePoint now);
   void onDeadline(Call &call);
@@ -204,7 +204,7 @@
   std::string Name;
   CrashTracker Crashes;
   CrashReporter Reporter;
-  std::vector<CrashNote> CrashNotes;
+  std::vector<CrashLogRecord> CrashLogRecords;
   EntryActions Out;
 };
 
--- a/include/ospreyspur/Routing/RoutingSnapshot.h
+++ b/include/ospreyspur/Routing/RoutingSnapshot.h
@@ -40,7 +40,7 @@
 struct ServiceView {
   ServiceKind Kind = ServiceKind::Plain;
   /// Whether calls other than GET and HEAD may run more than once.
-  bool IsRepeatable = false;
+  bool IsRetryable = false;
   std::vector<EndpointView> Endpoints;
 };
 
--- a/include/ospreyspur/Rpc/Codec.h
+++ b/include/ospreyspur/Rpc/Codec.h
@@ -23,7 +23,7 @@
 
 /// Returns the encoded size of \p message in bytes, without the framing of a
 /// link.
-std::size_t sizeOf(const Message &message);
+std::size_t encodedSize(const Message &message);
 
 /// Decodes \p in. Returns nothing if this version does not know the kind of the
 /// message or if a field that is checked has an invalid value.
--- a/include/ospreyspur/Rpc/LoadCodec.h
+++ b/include/ospreyspur/Rpc/LoadCodec.h
@@ -7,8 +7,8 @@
 #ifndef OSPREYSPUR_RPC_LOADCODEC_H
 #define OSPREYSPUR_RPC_LOADCODEC_H
 
-#include "ospreyspur/Direct/EndpointBook.h"
-#include "ospreyspur/Pushback/RateLimitRow.h"
+#include "ospreyspur/Direct/EndpointTable.h"
+#include "ospreyspur/Pushback/RateLimitRecord.h"
 #include "ospreyspur/Quarantine/CrashReport.h"
 
 #include <optional>
@@ -26,11 +26,11 @@
   CrashReport Crashes;
   /// Incarnations of endpoints that have exited; another incarnation is now at
   /// the address of each.
-  std::vector<LifeDigest> Replaced{};
+  std::vector<IncarnationDigest> Replaced{};
   /// Rate limits that endpoints advertised.
-  std::vector<RateLimitRow> Rates{};
+  std::vector<RateLimitRecord> Rates{};
   /// Incarnations of endpoints that reported that they are leaving.
-  std::vector<LifeDigest> Leaving{};
+  std::vector<IncarnationDigest> Leaving{};
   /// Whether the entry has just started and asks the other entries for their
   /// records.
   bool IsNew = false;
--- a/include/ospreyspur/Rpc/Messages.h
+++ b/include/ospreyspur/Rpc/Messages.h
@@ -119,7 +119,7 @@
   std::uint64_t Length = 0;
   ResultCode Code = ResultCode::Ok;
   /// The endpoint's incarnation that ran the request, as counted by the agent.
-  EngineLife Life{};
+  EngineIncarnation Incarnation{};
 };
 
 /// What an agent knows about a request.
--- a/include/ospreyspur/Support/Digest.h
+++ b/include/ospreyspur/Support/Digest.h
@@ -37,7 +37,7 @@
 std::string toHex(RequestDigest it);
 
 /// Parses a digest that toHex() wrote; 0 if \p text is not one.
-RequestDigest requestDigestOf(std::string_view text);
+RequestDigest parseRequestDigest(std::string_view text);
 
 } // namespace ospreyspur
 
--- a/include/ospreyspur/Support/Ids.h
+++ b/include/ospreyspur/Support/Ids.h
@@ -28,7 +28,8 @@
 using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
 /// Numbers the incarnations of an endpoint's process that one agent incarnation
 /// has seen exit.
-using EngineLife = StrongType<struct EngineLifeTag, std::uint64_t>;
+using EngineIncarnation =
+    StrongType<struct EngineIncarnationTag, std::uint64_t>;
 /// Numbers the tickets of one agent incarnation, from 1 up.
 using TicketSequence = StrongType<struct TicketSequenceTag, std::uint64_t>;
 /// Numbers a caller's request within one entry process.
--- a/lib/Config/ConfigDocument.cpp
+++ b/lib/Config/ConfigDocument.cpp
@@ -112,7 +112,7 @@
   if (kind != "plain" && kind != "model")
     throw BadField{path + ".kind: expected \"plain\" or \"model\""};
   out.Kind = kind == "model" ? ServiceKind::Model : ServiceKind::Plain;
-  out.IsRepeatable =
+  out.IsRetryable =
       flagOr(in, "repeatable", out.Kind == ServiceKind::Model, path);
   out.OwnLabels = readLabels(in, path);
   return out;
@@ -211,7 +211,7 @@
   for (const auto &[name, it] : document.Services)
     services[name] = {
         {"kind", it.Kind == ServiceKind::Model ? "model" : "plain"},
-        {"repeatable", it.IsRepeatable},
+        {"repeatable", it.IsRetryable},
         {"labels", writeLabels(it.OwnLabels)}};
   json::object groups;
   for (const auto &[name, labels] : document.Groups)
@@ -270,7 +270,7 @@
                          std::int64_t nowUnix) {
   RoutingSnapshot out;
   for (const auto &[name, it] : document.Services)
-    out.Services[ServiceId(name)] = {it.Kind, it.IsRepeatable, {}};
+    out.Services[ServiceId(name)] = {it.Kind, it.IsRetryable, {}};
   for (const EndpointView &it : endpoints) {
     auto service = out.Services.find(it.Service);
     if (service != out.Services.end())
--- a/lib/Config/Settings.cpp
+++ b/lib/Config/Settings.cpp
@@ -92,7 +92,7 @@
 /// Weights are given in thousandths, as settings are whole numbers.
 static void readGroup(SettingsReader &reader, AgentSettings &out) {
   constexpr double Thousand = 1000.0;
-  MapShape &shape = out.Shape;
+  MapShape &shape = out.MapDimensions;
   shape.Layers = reader.readNumber("group.layers", 1, 1, 1000,
                                    "layers of the model with experts");
   shape.Experts =
@@ -144,8 +144,8 @@
   limits.Ledger.MaxRecords =
       reader.readNumber("agent.ledger_records", limits.Ledger.MaxRecords, 1,
                         10000000, "requests remembered");
-  limits.Ledger.MaxAnswerBytes = reader.readNumber(
-      "agent.ledger_answer_bytes", limits.Ledger.MaxAnswerBytes, 1024,
+  limits.Ledger.MaxResponseBytes = reader.readNumber(
+      "agent.ledger_answer_bytes", limits.Ledger.MaxResponseBytes, 1024,
       std::uint64_t(1) << 34U, "bytes of answers kept");
   limits.Ledger.Retention = reader.readMillis(
       "agent.retention_ms", limits.Ledger.Retention, seconds(1), hours(24),
@@ -193,7 +193,7 @@
       reader.readFraction("direct.grace_s", DefaultGrace, 1, MaxGrace,
                           "from SIGTERM until the process is "
                           "killed"));
-  RetryBounds &retries = out.Retries;
+  RetryLimits &retries = out.Retries;
   retries.Ratio =
       reader.readFraction("direct.retry_ratio", retries.Ratio, 0, 10,
                           "repeated arrivals for each request of a service");
--- a/lib/Control/ControlPlane.cpp
+++ b/lib/Control/ControlPlane.cpp
@@ -70,11 +70,11 @@
 }
 
 void ControlPlane::perform(const ReplyDigest &action) {
-  Handlers.Answer(action.To, action.Body);
+  Handlers.SendReply(action.To, action.Body);
 }
 
 void ControlPlane::perform(const ReplyUpdate &action) {
-  Handlers.Answer(action.To, action.Body);
+  Handlers.SendReply(action.To, action.Body);
 }
 
 void ControlPlane::perform(const CallPlatformForGossip &action) {
--- a/lib/Control/DirectControl.cpp
+++ b/lib/Control/DirectControl.cpp
@@ -53,7 +53,7 @@
 static GossipIdentity makeIdentity(const DirectSettings &settings) {
   return {EndpointId(settings.Name),
           DataCentreId(settings.DataCentre),
-          {platform::ConfigDocumentKey, platform::EndpointPrefix}};
+          {platform::ConfigDocumentKey, platform::EndpointKeyPrefix}};
 }
 
 DirectControl::DirectControl(asio::io_context &ioc,
@@ -130,7 +130,7 @@
 
 void DirectControl::setQuarantine(std::vector<RequestDigest> quarantined,
                                   const std::vector<RequestDigest> &cleared) {
-  Quarantine.setOwn(std::move(quarantined), cleared);
+  Quarantine.setLocalQuarantine(std::move(quarantined), cleared);
 }
 
 void DirectControl::apply(const GossipActions &actions) {
@@ -161,7 +161,7 @@
     apply(Node.onKvReply(id, reply, monotonicNow()));
   };
   const auto &watch = std::get<KvWatch>(action.Request.Call);
-  if (watch.Key != platform::EndpointPrefix) {
+  if (watch.Key != platform::EndpointKeyPrefix) {
     Platform.call(watch, CallTimeout, onReply);
     return;
   }
@@ -264,7 +264,7 @@
   snapshot->Config = Config;
   snapshot->Endpoints = Endpoints.endpoints();
   snapshot->Nodes = Registry.others();
-  snapshot->AreNodesListed = Registry.hasRead();
+  snapshot->HasNodeList = Registry.hasRead();
   snapshot->Restored = std::exchange(Restored, {});
   HasPublished = true;
   OnSnapshot(std::move(snapshot));
--- a/lib/Control/ListReader.cpp
+++ b/lib/Control/ListReader.cpp
@@ -22,7 +22,7 @@
 asio::awaitable<KvReply> ListReader::ask(Duration wait, Duration timeout) {
   if (SeenAt.get() == 0)
     co_return co_await readAll(timeout);
-  KvCall watch = KvWatchList{platform::EndpointPrefix, SeenAt, wait};
+  KvCall watch = KvWatchList{platform::EndpointKeyPrefix, SeenAt, wait};
   KvReply page = co_await Platform.ask(std::move(watch), timeout);
   if (page.Code == ResultCode::PlatformHistoryGone)
     co_return co_await readAll(timeout);
@@ -39,7 +39,7 @@
 }
 
 asio::awaitable<KvReply> ListReader::readAll(Duration timeout) {
-  KvCall call = KvList{platform::EndpointPrefix, false};
+  KvCall call = KvList{platform::EndpointKeyPrefix, false};
   KvReply list = co_await Platform.ask(std::move(call), timeout);
   if (list.Code != ResultCode::Ok)
     co_return list;
--- a/lib/Control/QuarantineSync.cpp
+++ b/lib/Control/QuarantineSync.cpp
@@ -41,8 +41,9 @@
   onTimer();
 }
 
-void QuarantineSync::setOwn(std::vector<RequestDigest> quarantined,
-                            const std::vector<RequestDigest> &cleared) {
-  Store.setOwn(std::move(quarantined), cleared, monotonicNow());
+void QuarantineSync::setLocalQuarantine(
+    std::vector<RequestDigest> quarantined,
+    const std::vector<RequestDigest> &cleared) {
+  Store.setLocalQuarantine(std::move(quarantined), cleared, monotonicNow());
   Timer.set(Store.nextTimer());
 }
--- a/lib/Direct/DirectCrashes.cpp
+++ b/lib/Direct/DirectCrashes.cpp
@@ -19,17 +19,17 @@
 static constexpr Duration CopyStartSpread = std::chrono::milliseconds(200);
 
 /// Handles an endpoint that closed the connection of the current attempt early.
-/// A cut connection alone does not prove a crash, so the endpoint's fate is
+/// A cut connection alone does not prove a crash, so the endpoint's liveness is
 /// checked before the request is sent to another endpoint.
 void DirectNode::handleCutConnection(const CallState &call, TimePoint now) {
-  const EndpointState *state = Book.find(*call.Current);
+  const EndpointState *state = Table.find(*call.Current);
   bool isPlanned = !state || state->Record.IsLeaving || state->IsMissing;
   if (isPlanned || call.Request.Digest == RequestDigest())
     return;
   CutRun run{call.Request.Digest, call.Request.Label, call.Service,
              now - call.SentAt};
-  LifeDigest incarnation = digestLife(*call.Current);
-  if (std::optional<TimePoint> ended = Crashes.endOf(incarnation)) {
+  IncarnationDigest incarnation = digestIncarnation(*call.Current);
+  if (std::optional<TimePoint> ended = Crashes.crashTimeOf(incarnation)) {
     if (call.SentAt < *ended)
       recordCrash(*call.Current, run, now);
     return;
@@ -40,14 +40,14 @@
     Out.emplace_back(CheckEndpoint{state->Record});
 }
 
-DirectActions DirectNode::onChecked(const EndpointId &id, EndpointFate fate,
-                                    TimePoint now) {
+DirectActions DirectNode::onChecked(const EndpointId &id,
+                                    EndpointLiveness liveness, TimePoint now) {
   auto it = Checks.find(id);
   if (it == Checks.end())
     return takeActions();
   std::vector<CutRun> runs = std::move(it->second);
   Checks.erase(it);
-  if (fate == EndpointFate::Ended) {
+  if (liveness == EndpointLiveness::Exited) {
     closeGroupOf(id, now);
     for (const CutRun &run : runs)
       recordCrash(id, run, now);
@@ -59,23 +59,23 @@
 void DirectNode::recordCrash(const EndpointId &id, const CutRun &run,
                              TimePoint now) {
   std::size_t endpoints = Picker.countEndpoints(run.Service);
-  Crashes.onCrash(run.Request, digestLife(id), run.Ran, endpoints, now);
-  CrashNotes.push_back({run.Request, run.Label, id, run.Ran,
-                        Crashes.crashesOf(run.Request),
-                        Crashes.chanceOf(run.Request, now),
-                        Crashes.standingOf(run.Request), false});
+  Crashes.onCrash(run.Request, digestIncarnation(id), run.Ran, endpoints, now);
+  CrashLogRecords.push_back({run.Request, run.Label, id, run.Ran,
+                             Crashes.crashesOf(run.Request),
+                             Crashes.chanceOf(run.Request, now),
+                             Crashes.verdictOf(run.Request), false});
 }
 
 void DirectNode::evaluateCrashes(TimePoint now) {
-  for (RequestDigest it : Crashes.judge(now))
+  for (RequestDigest it : Crashes.updateVerdicts(now))
     quarantine(it, false, now);
 }
 
 void DirectNode::quarantine(RequestDigest request, bool isFromPeer,
                             TimePoint now) {
-  CrashNotes.push_back(
+  CrashLogRecords.push_back(
       {request, "", EndpointId(), Duration(), Crashes.crashesOf(request),
-       Crashes.chanceOf(request, now), CrashStanding::Quarantined, isFromPeer});
+       Crashes.chanceOf(request, now), CrashVerdict::Quarantined, isFromPeer});
   endQuarantined(request, now);
 }
 
@@ -84,7 +84,7 @@
 /// wait as long for its rejection, while those that run there can be migrated
 /// now.
 void DirectNode::closeGroupOf(const EndpointId &id, TimePoint now) {
-  for (const EndpointId &member : Book.onIncarnationEnded(id, now))
+  for (const EndpointId &member : Table.onIncarnationEnded(id, now))
     for (auto &[callId, call] : Calls) {
       bool isThere = call.Current == member && member != id;
       if (isThere && call.Request.Route->canResume() &&
@@ -97,16 +97,17 @@
 /// CrashedGroupDelay.
 void DirectNode::handleReportedCrashes(const CrashReport &report,
                                        TimePoint now) {
-  std::set<LifeDigest> fresh;
-  for (const CrashRow &row : report.Rows)
-    for (const CrashTold &it : row.Crashes)
-      if (it.Age < EndpointBook::CrashedGroupDelay && !Crashes.endOf(it.Life))
-        fresh.insert(it.Life);
+  std::set<IncarnationDigest> fresh;
+  for (const CrashRecord &record : report.Records)
+    for (const ReportedCrash &it : record.Crashes)
+      if (it.Age < EndpointTable::CrashedGroupDelay &&
+          !Crashes.crashTimeOf(it.Incarnation))
+        fresh.insert(it.Incarnation);
   if (fresh.empty())
     return;
   std::vector<EndpointId> ended;
-  for (const auto &[id, state] : Book.states())
-    if (fresh.contains(state.Life))
+  for (const auto &[id, state] : Table.states())
+    if (fresh.contains(state.Incarnation))
       ended.push_back(id);
   for (const EndpointId &it : ended)
     closeGroupOf(it, now);
@@ -127,7 +128,7 @@
                               TimePoint now) {
   Crashes.restore(requests, now);
   for (RequestDigest it : requests)
-    if (Crashes.standingOf(it) == CrashStanding::Quarantined)
+    if (Crashes.verdictOf(it) == CrashVerdict::Quarantined)
       endQuarantined(it, now);
   return takeActions();
 }
@@ -135,18 +136,19 @@
 CrashReport DirectNode::takeCrashReport(TimePoint now) {
   if (Crashes.isEmpty())
     return {};
-  CrashReport out{Crashes.takeRows(Book.livePeers(now) + 1, now), {}};
+  CrashReport out{Crashes.takeRecords(Table.livePeers(now) + 1, now), {}};
   for (const auto &[id, call] : Calls) {
-    bool isSuspect = call.Current && Crashes.standingOf(call.Request.Digest) ==
-                                         CrashStanding::Suspect;
-    if (isSuspect && out.Runs.size() < MaxReportedRuns)
-      out.Runs.push_back({call.Request.Digest, digestLife(*call.Current)});
+    bool isSuspect = call.Current && Crashes.verdictOf(call.Request.Digest) ==
+                                         CrashVerdict::Suspect;
+    if (isSuspect && out.SuspectAttempts.size() < MaxReportedRuns)
+      out.SuspectAttempts.push_back(
+          {call.Request.Digest, digestIncarnation(*call.Current)});
   }
   return out;
 }
 
 bool DirectNode::isSuspect(const CallState &call) const {
-  return Crashes.standingOf(call.Request.Digest) == CrashStanding::Suspect;
+  return Crashes.verdictOf(call.Request.Digest) == CrashVerdict::Suspect;
 }
 
 /// Returns the endpoint for a suspect request; null if there is none or the
@@ -171,10 +173,10 @@
   return now < *call.CopyStartAt ? nullptr : state;
 }
 
-/// Whether the call has to wait though there may be capacity: the fate of its
-/// last endpoint is still being checked or evaluated, or the request is suspect
-/// and already running. Only one copy of a suspect request runs at a time, so
-/// that no more endpoints crash than are needed for a verdict.
+/// Whether the call has to wait though there may be capacity: the liveness of
+/// its last endpoint is still being checked or evaluated, or the request is
+/// suspect and already running. Only one copy of a suspect request runs at a
+/// time, so that no more endpoints crash than are needed for a verdict.
 bool DirectNode::mustDefer(const CallState &call, TimePoint now) const {
   RequestDigest request = call.Request.Digest;
   for (const auto &[id, runs] : Checks)
@@ -183,7 +185,7 @@
       return true;
   if (!isSuspect(call))
     return false;
-  if (Crashes.isSettling(request))
+  if (Crashes.isVerdictPending(request))
     return true;
   bool runsHere = std::any_of(Calls.begin(), Calls.end(), [&](const auto &it) {
     return it.second.Current && it.second.Request.Digest == request;
@@ -194,15 +196,16 @@
 /// Returns the endpoints that run suspect requests other than \p call's. If an
 /// endpoint crashed while running two suspects, the crash could not be
 /// attributed to either of them.
-std::set<LifeDigest> DirectNode::incarnationsOfSuspects(const CallState &call,
-                                                        TimePoint now) const {
-  std::set<LifeDigest> out = Crashes.livesOfOthers(call.Request.Digest, now);
+std::set<IncarnationDigest>
+DirectNode::incarnationsOfSuspects(const CallState &call, TimePoint now) const {
+  std::set<IncarnationDigest> out =
+      Crashes.incarnationsOfOthers(call.Request.Digest, now);
   for (const auto &[id, other] : Calls) {
     const EndpointState *state =
-        other.Current ? Book.find(*other.Current) : nullptr;
+        other.Current ? Table.find(*other.Current) : nullptr;
     if (state && isSuspect(other) &&
         other.Request.Digest != call.Request.Digest)
-      out.insert(state->Life);
+      out.insert(state->Incarnation);
   }
   return out;
 }
@@ -222,7 +225,7 @@
     if (call.IsStopping || !call.Request.Route->isRepeatable())
       continue;
     call.IsStopping = true;
-    Out.emplace_back(StopAttempt{id, MoveReason::Quarantined, Duration(),
+    Out.emplace_back(StopAttempt{id, MigrationReason::Quarantined, Duration(),
                                  call.Deadline - now});
   }
   for (CallId id : waiting)
--- a/lib/Direct/DirectMigrations.cpp
+++ b/lib/Direct/DirectMigrations.cpp
@@ -20,9 +20,9 @@
   bool isNew = !std::exchange(call.IsSilent, true);
   if (isNew) {
     Silent.insert(id);
-    Book.onFailure(*call.Current, now);
+    Table.onFailure(*call.Current, now);
   }
-  if (!tryMigrate(call, MoveReason::Silent, now) && isNew)
+  if (!tryMigrate(call, MigrationReason::Silent, now) && isNew)
     recordWait(call, now);
   return takeActions();
 }
@@ -31,7 +31,7 @@
 /// current endpoint.
 bool DirectNode::isTooSlow(const CallState &call, TimePoint now) const {
   const ServiceRule *service = call.Request.Config->findService(call.Service);
-  const EndpointState *state = Book.find(*call.Current);
+  const EndpointState *state = Table.find(*call.Current);
   return call.Request.Route->canResume() && service && service->Engine &&
          state && !Picker.canFinish(*state, call, now);
 }
@@ -40,7 +40,8 @@
 /// endpoint: a slot there and a retry from the budget are reserved first. When
 /// both were only looked up, many streams were stopped for the same slot, and
 /// those that found the slot taken were cut.
-bool DirectNode::tryMigrate(CallState &call, MoveReason reason, TimePoint now) {
+bool DirectNode::tryMigrate(CallState &call, MigrationReason reason,
+                            TimePoint now) {
   if (!Rates.isEmpty())
     refreshMembers(now);
   const RouteRule &route = *call.Request.Route;
@@ -54,15 +55,15 @@
   if (!state || Picker.isDoubtful(*state, now))
     return false;
   Retries.spend(call.Service, entries, now);
-  call.IsNextCharged = Rates.isLimited(state->Life);
-  Rates.take(state->Life, now);
+  call.IsNextCharged = Rates.isLimited(state->Incarnation);
+  Rates.take(state->Incarnation, now);
   call.Next = state->Record;
   call.IsStopping = true;
-  Book.onStarted(state->Record.Id, call.Request.Tokens.Prompt);
-  const EndpointState *current = Book.find(*call.Current);
-  Out.emplace_back(StopAttempt{call.Request.Id, reason,
-                               current ? Book.gapOf(*current, now) : Duration(),
-                               call.Deadline - now});
+  Table.onStarted(state->Record.Id, call.Request.Tokens.Prompt);
+  const EndpointState *current = Table.find(*call.Current);
+  Out.emplace_back(StopAttempt{
+      call.Request.Id, reason,
+      current ? Table.gapOf(*current, now) : Duration(), call.Deadline - now});
   return true;
 }
 
@@ -72,8 +73,8 @@
 bool DirectNode::startNext(CallState &call, TimePoint now) {
   if (!call.Next)
     return false;
-  const EndpointState *state = Book.find(call.Next->Id);
-  if (!state || isClosed(*state, now) || now >= call.Deadline) {
+  const EndpointState *state = Table.find(call.Next->Id);
+  if (!state || isExcluded(*state, now) || now >= call.Deadline) {
     releaseNext(call);
     return false;
   }
@@ -86,8 +87,8 @@
 void DirectNode::releaseNext(CallState &call) {
   if (!call.Next)
     return;
-  Book.dropPendingPrompt(call.Next->Id, call.Request.Tokens.Prompt);
-  Book.onEnded(call.Next->Id, false);
+  Table.dropPendingPrompt(call.Next->Id, call.Request.Tokens.Prompt);
+  Table.onEnded(call.Next->Id, false);
   Retries.refund(call.Service);
   call.Next.reset();
 }
--- a/lib/Direct/DirectNode.cpp
+++ b/lib/Direct/DirectNode.cpp
@@ -13,9 +13,9 @@
 using namespace ospreyspur;
 
 /// How long a request whose endpoint cut the connection may wait for the
-/// endpoint's fate to be known, regardless of how long it has already waited.
+/// endpoint's liveness to be known, regardless of how long it has waited.
 /// The check takes at most 0.3 s and the evaluation 0.1 s.
-static constexpr Duration FateCheckWait = std::chrono::milliseconds(500);
+static constexpr Duration LivenessCheckWait = std::chrono::milliseconds(500);
 
 /// Weight of the latest sample in the running mean of the time to first byte.
 static constexpr double FirstByteWeight = 0.1;
@@ -24,7 +24,7 @@
                        std::uint64_t seed, std::string name)
     : DataCentre(std::move(dataCentre)), Limits(limits), Random(seed),
       Name(std::move(name)),
-      Picker(Book, Limits, DataCentre, Arrivals, Rates, Closed, Random),
+      Picker(Table, Limits, DataCentre, Arrivals, Rates, Excluded, Random),
       Retries(limits.Retries) {}
 
 static Duration partOf(Duration whole, double part) {
@@ -48,8 +48,8 @@
       now + std::min(Limits.MaxWait, partOf(left, Limits.MaxWaitPart));
   call.Request = std::move(request);
   Retries.onRequest(call.Service, now);
-  Crashes.onSeen(call.Request.Digest, now);
-  if (Crashes.standingOf(call.Request.Digest) == CrashStanding::Quarantined) {
+  Crashes.onReceived(call.Request.Digest, now);
+  if (Crashes.verdictOf(call.Request.Digest) == CrashVerdict::Quarantined) {
     end(call, ResultCode::RequestQuarantined, Duration::zero());
     return takeActions();
   }
@@ -66,7 +66,7 @@
   it->second.HasBegun = true;
   recordReceived(it->second, now);
   recordFirstByte(it->second, now);
-  Book.onFirstByte(*it->second.Current, it->second.Request.Tokens.Prompt, now);
+  Table.onFirstByte(*it->second.Current, it->second.Request.Tokens.Prompt, now);
   startWaiting(now);
   return takeActions();
 }
@@ -80,9 +80,9 @@
   Duration gap = now - call.ReceivedAt;
   recordReceived(call, now);
   if (gap > Duration::zero())
-    Book.onEvents(*call.Current, gap, now);
+    Table.onEvents(*call.Current, gap, now);
   if (isTooSlow(call, now))
-    tryMigrate(call, MoveReason::TooSlow, now);
+    tryMigrate(call, MigrationReason::TooSlow, now);
   return takeActions();
 }
 
@@ -119,7 +119,7 @@
   if (connection == ConnectionEnd::Endpoint)
     handleCutConnection(call, now);
   if (end == AttemptEnd::Complete || end == AttemptEnd::Failed)
-    Crashes.onWhole(call.Request.Digest, now);
+    Crashes.onCompleteResponse(call.Request.Digest, now);
   // The endpoint's rate limit, backoff or draining state decides when the
   // request may be sent there again.
   if (end == AttemptEnd::Withheld)
@@ -139,7 +139,7 @@
       --call.Attempts;
     retry(call, ResultCode::QueueFull, now);
     break;
-  case AttemptEnd::OtherEndpoint:
+  case AttemptEnd::OtherIncarnation:
     // The intended endpoint has not received the request.
     --call.Attempts;
     retry(call, ResultCode::EndpointLeaving, now);
@@ -161,7 +161,7 @@
       wait(call, now);
       break;
     }
-    Out.emplace_back(PassOnAnswer{id});
+    Out.emplace_back(ForwardResponse{id});
     break;
   case AttemptEnd::Lost:
     call.MayHaveRun = true;
@@ -183,7 +183,7 @@
   return takeActions();
 }
 
-DirectActions DirectNode::onCallGone(CallId id, TimePoint now) {
+DirectActions DirectNode::onCallClosed(CallId id, TimePoint now) {
   auto it = Calls.find(id);
   if (it == Calls.end())
     return takeActions();
@@ -197,7 +197,7 @@
 
 DirectActions DirectNode::onTimer(TimePoint now) {
   LastTimer = now;
-  Book.clearExpiredFull(now);
+  Table.clearExpiredFull(now);
   evaluateCrashes(now);
   sendStatusQueries(now);
   startWaiting(now);
@@ -211,20 +211,20 @@
 }
 
 std::optional<TimePoint> DirectNode::nextTimer() const {
-  std::optional<TimePoint> next = Book.nextStatusQuery();
+  std::optional<TimePoint> next = Table.nextStatusQuery();
   auto include = [&next](std::optional<TimePoint> due) {
     if (due && (!next || *due < *next))
       next = due;
   };
-  include(Crashes.nextJudgement());
+  include(Crashes.nextVerdictAt());
   for (const auto &[priority, arrived, id] : Waiting)
     include(Calls.at(id).waitLimit());
   for (const auto &[priority, arrived, id] : Waiting)
     include(Calls.at(id).CopyStartAt);
   if (!Waiting.empty()) {
-    include(Book.nextFree());
-    include(Rates.nextRoom(LastTimer));
-    include(Closed.nextEnd(LastTimer));
+    include(Table.nextFree());
+    include(Rates.nextCapacityAt(LastTimer));
+    include(Excluded.nextBackoffEnd(LastTimer));
   }
   return next;
 }
@@ -256,9 +256,9 @@
                   Retries.canSpend(call.Service, countSharingEntries(now), now);
   unsigned attempts = call.Request.Route->Attempts;
   unsigned left = attempts - std::min(attempts, call.Attempts);
-  Notes.push_back({call.Request.Id, call.Arrivals, left, call.IsSilent,
-                   hasRetry, countSharingEntries(now),
-                   Picker.countObstacles(call, now)});
+  WaitLogRecords.push_back({call.Request.Id, call.Arrivals, left, call.IsSilent,
+                            hasRetry, countSharingEntries(now),
+                            Picker.countObstacles(call, now)});
 }
 
 bool DirectNode::tryStart(CallState &call, TimePoint now) {
@@ -275,9 +275,9 @@
   bool isRetry = call.Arrivals > 0;
   if (isRetry && !Retries.spend(call.Service, countSharingEntries(now), now))
     return false;
-  call.IsCharged = Rates.isLimited(state->Life);
-  Rates.take(state->Life, now);
-  Book.onStarted(state->Record.Id, call.Request.Tokens.Prompt);
+  call.IsCharged = Rates.isLimited(state->Incarnation);
+  Rates.take(state->Incarnation, now);
+  Table.onStarted(state->Record.Id, call.Request.Tokens.Prompt);
   startAttempt(call, state->Record, now);
   return true;
 }
@@ -287,7 +287,7 @@
 std::size_t DirectNode::countSharingEntries(TimePoint now) const {
   if (MustKnowFleet && !Fleet.isListed())
     return 0;
-  return Fleet.count(Retries.bounds().Window, now);
+  return Fleet.count(Retries.limits().Window, now);
 }
 
 /// Sends the request to \p endpoint, where a slot is reserved for it.
@@ -299,10 +299,10 @@
   call.IsStopping = false;
   call.SentAt = now;
   call.ReceivedAt = now;
-  call.Silence = allowedSilence(call);
+  call.MaxIdleTime = allowedSilence(call);
   call.Tried.insert(endpoint.Id);
   Out.emplace_back(StartAttempt{call.Request.Id, endpoint, call.Deadline,
-                                call.Attempts, call.Silence});
+                                call.Attempts, call.MaxIdleTime});
 }
 
 /// Assigns freed capacity to waiting calls. Calls that can still be within
@@ -312,7 +312,7 @@
 void DirectNode::startWaiting(TimePoint now) {
   startWaiting(true, now);
   for (CallId id : std::vector<CallId>(Silent.begin(), Silent.end()))
-    tryMigrate(Calls.at(id), MoveReason::Silent, now);
+    tryMigrate(Calls.at(id), MigrationReason::Silent, now);
   startWaiting(false, now);
 }
 
@@ -337,7 +337,7 @@
 /// of its streams at once. If those streams were cut, their callers would send
 /// them again, and each caller may retry only once.
 void DirectNode::retry(CallState &call, ResultCode reason, TimePoint now) {
-  if (Crashes.standingOf(call.Request.Digest) == CrashStanding::Quarantined) {
+  if (Crashes.verdictOf(call.Request.Digest) == CrashVerdict::Quarantined) {
     end(call, ResultCode::RequestQuarantined, Duration::zero());
     return;
   }
@@ -345,8 +345,8 @@
     return;
   bool canTry = mayAttempt(call, now);
   if (canTry && mustDefer(call, now))
-    call.WaitUntil =
-        std::max(call.WaitUntil, std::min(now + FateCheckWait, call.Deadline));
+    call.WaitUntil = std::max(call.WaitUntil,
+                              std::min(now + LivenessCheckWait, call.Deadline));
   if (canTry && tryStart(call, now))
     return;
   if (canTry && now < call.waitLimit() && !isUnservable(call, now))
@@ -383,8 +383,8 @@
     Silent.erase(call.Request.Id);
   bool wasDecoding = std::exchange(call.HasFirstByte, false);
   if (!wasDecoding)
-    Book.dropPendingPrompt(*call.Current, call.Request.Tokens.Prompt);
-  Book.onEnded(*call.Current, wasDecoding);
+    Table.dropPendingPrompt(*call.Current, call.Request.Tokens.Prompt);
+  Table.onEnded(*call.Current, wasDecoding);
   call.Current.reset();
 }
 
@@ -393,18 +393,18 @@
   const EndpointId &id = *call.Current;
   switch (end) {
   case AttemptEnd::Complete:
-    Book.onSuccess(id, now);
+    Table.onSuccess(id, now);
     break;
   case AttemptEnd::Full:
     // A backoff that the endpoint asked for replaces the guessed interval.
-    if (!isResting(id, now))
-      Book.onFull(id, now);
+    if (!isInBackoff(id, now))
+      Table.onFull(id, now);
     break;
   case AttemptEnd::Failed:
-    Book.onFailedResponse(id, now);
+    Table.onFailedResponse(id, now);
     break;
-  case AttemptEnd::OtherEndpoint:
-    Book.onReplaced(id, now);
+  case AttemptEnd::OtherIncarnation:
+    Table.onReplaced(id, now);
     break;
   case AttemptEnd::Withheld:
     break;
@@ -414,9 +414,9 @@
     // The idle period of a silent attempt has already been recorded. An attempt
     // that was stopped here or by its deadline is no sign of a failure.
     if (!call.IsSilent && !call.IsStopping && now < call.Deadline)
-      Book.onFailure(id, now);
-    if (now - call.ReceivedAt >= call.Silence)
-      Book.onSilence(id, now - call.ReceivedAt, now);
+      Table.onFailure(id, now);
+    if (now - call.ReceivedAt >= call.MaxIdleTime)
+      Table.onSilence(id, now - call.ReceivedAt, now);
     break;
   }
 }
--- a/lib/Direct/DirectPushback.cpp
+++ b/lib/Direct/DirectPushback.cpp
@@ -37,7 +37,7 @@
   FleetMembers members;
   members.Self = digest64(Name);
   members.IsComplete = !MustKnowFleet || Fleet.isListed();
-  Duration window = Retries.bounds().Window;
+  Duration window = Retries.limits().Window;
   bool isSettled = ActiveSince && now - *ActiveSince >= ActiveSettleTime;
   for (const std::string &it : isSettled ? Fleet.othersWithCallers(window, now)
                                          : Fleet.others(window, now))
@@ -57,44 +57,47 @@
                                      const Pushback &pushback,
                                      std::optional<TimePoint> sentAt,
                                      TimePoint now) {
-  const EndpointState *state = Book.find(id);
+  const EndpointState *state = Table.find(id);
   if (!state)
     return takeActions();
-  if (pushback.Rest)
-    Closed.onRest(state->Life, *pushback.Rest, now);
+  if (pushback.Backoff)
+    Excluded.onBackoff(state->Incarnation, *pushback.Backoff, now);
   if (pushback.IsLeaving)
-    Closed.onLeaving(state->Life, false, now);
+    Excluded.onLeaving(state->Incarnation, false, now);
   bool mayLift = sentAt && pushback.Malformed.empty();
-  if (pushback.RequestsPerSecond || (mayLift && Rates.isKnown(state->Life))) {
+  if (pushback.RequestsPerSecond ||
+      (mayLift && Rates.isKnown(state->Incarnation))) {
     refreshMembers(now);
     // Without a send time the response can only lower a limit.
-    Rates.onAnswer(state->Life, pushback.RequestsPerSecond,
-                   sentAt.value_or(TimePoint()), now);
+    Rates.onResponse(state->Incarnation, pushback.RequestsPerSecond,
+                     sentAt.value_or(TimePoint()), now);
   }
-  if (pushback.Rest || pushback.IsLeaving || Rates.hasNotes())
+  if (pushback.Backoff || pushback.IsLeaving || Rates.hasLogRecords())
     onLimitsChanged(now);
   return takeActions();
 }
 
-DirectActions DirectNode::onRateLimits(const std::vector<RateLimitRow> &rows,
-                                       TimePoint now) {
-  if (rows.empty())
+DirectActions
+DirectNode::onRateLimits(const std::vector<RateLimitRecord> &records,
+                         TimePoint now) {
+  if (records.empty())
     return takeActions();
   refreshMembers(now);
-  auto isKnown = [this](LifeDigest incarnation) {
-    return Book.findLife(incarnation) != nullptr;
+  auto isKnown = [this](IncarnationDigest incarnation) {
+    return Table.findIncarnation(incarnation) != nullptr;
   };
-  Rates.merge(rows, isKnown, now);
-  if (Rates.hasNotes())
+  Rates.merge(records, isKnown, now);
+  if (Rates.hasLogRecords())
     onLimitsChanged(now);
   return takeActions();
 }
 
-DirectActions DirectNode::onLeaving(const std::vector<LifeDigest> &incarnations,
-                                    TimePoint now) {
-  for (LifeDigest it : incarnations)
-    if (Book.findLife(it))
-      Closed.onLeaving(it, true, now);
+DirectActions
+DirectNode::onLeaving(const std::vector<IncarnationDigest> &incarnations,
+                      TimePoint now) {
+  for (IncarnationDigest it : incarnations)
+    if (Table.findIncarnation(it))
+      Excluded.onLeaving(it, true, now);
   return takeActions();
 }
 
@@ -112,13 +115,13 @@
   if (it == Calls.end() || !it->second.Current)
     return false;
   CallState &call = it->second;
-  const EndpointState *state = Book.find(*call.Current);
-  if (state && isClosed(*state, now))
+  const EndpointState *state = Table.find(*call.Current);
+  if (state && isExcluded(*state, now))
     return false;
   if (!state || call.IsCharged)
     return true;
-  call.IsCharged = Rates.isLimited(state->Life);
-  return Rates.take(state->Life, now);
+  call.IsCharged = Rates.isLimited(state->Incarnation);
+  return Rates.take(state->Incarnation, now);
 }
 
 std::size_t DirectNode::waitingFor(const ServiceId &service) const {
@@ -127,9 +130,9 @@
   });
 }
 
-bool DirectNode::isResting(const EndpointId &id, TimePoint now) const {
-  const EndpointState *state = Book.find(id);
-  return state && Closed.isResting(state->Life, now);
+bool DirectNode::isInBackoff(const EndpointId &id, TimePoint now) const {
+  const EndpointState *state = Table.find(id);
+  return state && Excluded.isInBackoff(state->Incarnation, now);
 }
 
 /// Returns why the call is held back if every endpoint that it may use is
@@ -137,7 +140,7 @@
 /// Ok.
 ResultCode DirectNode::pushbackReason(const CallState &call,
                                       TimePoint now) const {
-  bool hasNoPushback = Rates.limitedCount() == 0 && Closed.isEmpty();
+  bool hasNoPushback = Rates.limitedCount() == 0 && Excluded.isEmpty();
   if (hasNoPushback || call.HasBegun)
     return ResultCode::Ok;
   ObstacleCounts counts = Picker.countObstacles(call, now);
@@ -164,12 +167,12 @@
   TimePoint until = call.waitLimit();
   double capacity = 0;
   for (const EndpointState *it : Picker.statesOf(call.Service)) {
-    bool isOut = it->Record.IsLeaving || Closed.isLeaving(it->Life) ||
-                 Closed.restUntil(it->Life) >= until;
+    bool isOut = it->Record.IsLeaving || Excluded.isLeaving(it->Incarnation) ||
+                 Excluded.backoffUntil(it->Incarnation) >= until;
     if (isOut || call.Tried.contains(it->Record.Id))
       continue;
-    capacity += Rates.isLimited(it->Life)
-                    ? Rates.roomUntil(it->Life, now, until)
+    capacity += Rates.isLimited(it->Incarnation)
+                    ? Rates.capacityUntil(it->Incarnation, now, until)
                     : it->Record.Slots;
   }
   bool waits =
@@ -180,7 +183,7 @@
 /// Ends the waiting calls that cannot be served in time, the last in the queue
 /// first.
 void DirectNode::endUnservable(TimePoint now) {
-  if (Rates.limitedCount() == 0 && Closed.isEmpty())
+  if (Rates.limitedCount() == 0 && Excluded.isEmpty())
     return;
   std::vector<CallId> waiting;
   for (const auto &[priority, arrived, id] : Waiting)
@@ -196,9 +199,9 @@
 Duration DirectNode::expectedQueueDelay(const CallState &call,
                                         TimePoint now) const {
   unsigned running = 0;
-  for (const auto &[id, state] : Book.states())
+  for (const auto &[id, state] : Table.states())
     if (state.Record.Service == call.Service)
-      running += Book.totalLoad(state, now).Running;
+      running += Table.totalLoad(state, now).Running;
   if (running == 0)
     return MinRetryAfter;
   // A request runs for a second or two at an engine. The route's latency target
@@ -216,8 +219,9 @@
                                            TimePoint now) {
   double rate = 0;
   for (const EndpointState *it : Picker.statesOf(call.Service))
-    if (Rates.isLimited(it->Life) && !isClosed(*it, now))
-      rate += std::max(Rates.namedRate(it->Life), RateLimits::MinPerSecond);
+    if (Rates.isLimited(it->Incarnation) && !isExcluded(*it, now))
+      rate += std::max(Rates.advertisedRate(it->Incarnation),
+                       RateLimits::MinPerSecond);
   if (rate == 0)
     return expectedBackoffDelay(call, now);
   double own = rate / double(Rates.memberCount());
@@ -237,8 +241,9 @@
   std::optional<TimePoint> first;
   unsigned slots = 0;
   for (const EndpointState *it : Picker.statesOf(call.Service)) {
-    TimePoint end = Closed.restUntil(it->Life);
-    if (it->Record.IsLeaving || Closed.isLeaving(it->Life) || end <= now)
+    TimePoint end = Excluded.backoffUntil(it->Incarnation);
+    if (it->Record.IsLeaving || Excluded.isLeaving(it->Incarnation) ||
+        end <= now)
       continue;
     first = std::min(first.value_or(end), end);
     slots += it->Record.Slots;
@@ -250,7 +255,7 @@
   // is the only available figure that scales with this time.
   double each =
       std::chrono::duration<double>(call.Request.Route->Target).count();
-  double entries = double(Book.livePeers(now) + 1);
+  double entries = double(Table.livePeers(now) + 1);
   auto spread =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
           rejected * 4 * each * entries / std::max(1U, slots)));
--- a/lib/Direct/DirectStatusQueries.cpp
+++ b/lib/Direct/DirectStatusQueries.cpp
@@ -12,10 +12,10 @@
 using namespace ospreyspur;
 
 DirectActions
-DirectNode::onTold(const EndpointId &id,
-                   const std::optional<EndpointCondition> &condition,
-                   TimePoint now) {
-  Book.onTold(id, condition, now);
+DirectNode::onStatusReport(const EndpointId &id,
+                           const std::optional<EndpointStatus> &status,
+                           TimePoint now) {
+  Table.onStatusReport(id, status, now);
   sendStatusQueries(now);
   startWaiting(now);
   return takeActions();
@@ -25,18 +25,19 @@
   auto mayBeQueried = [this, now](const EndpointState &it) {
     return mayQuery(it, now);
   };
-  for (EndpointRecord &it : Book.takeStatusQueries(mayBeQueried, now))
-    Out.emplace_back(AskEndpoint{std::move(it)});
-  for (EndpointRecord &it : Book.takeSlowdownQueries(mayBeQueried, now, Random))
-    Out.emplace_back(AskEndpoint{std::move(it)});
+  for (EndpointRecord &it : Table.takeStatusQueries(mayBeQueried, now))
+    Out.emplace_back(QueryEndpoint{std::move(it)});
+  for (EndpointRecord &it :
+       Table.takeSlowdownQueries(mayBeQueried, now, Random))
+    Out.emplace_back(QueryEndpoint{std::move(it)});
 }
 
 /// Whether a status query may be sent to the endpoint. A query counts toward
 /// the endpoint's limits like a request.
 bool DirectNode::mayQuery(const EndpointState &state, TimePoint now) {
-  if (isClosed(state, now))
+  if (isExcluded(state, now))
     return false;
   if (!Rates.isEmpty())
     refreshMembers(now);
-  return Rates.take(state.Life, now);
+  return Rates.take(state.Incarnation, now);
 }
--- a/lib/Direct/EndpointDocument.cpp
+++ b/lib/Direct/EndpointDocument.cpp
@@ -18,13 +18,13 @@
     std::string address = it.Address.address().to_string() + ":" +
                           std::to_string(it.Address.port());
     out.push_back(json::object{{"name", it.Name},
-                               {"life", it.Life.get()},
+                               {"life", it.Incarnation.get()},
                                {"service", it.Service.get()},
                                {"address", address},
                                {"data_centre", it.DataCentre.get()},
                                {"slots", it.Slots},
                                {"leaving", it.IsLeaving},
-                               {"tells_state", it.TellsState},
+                               {"tells_state", it.AnswersStatusQueries},
                                {"revision", it.ListedAt.get()}});
   }
   return json::serialize(out);
@@ -55,7 +55,7 @@
     return Error{ResultCode::PlatformBadAnswer,
                  "an endpoint lacks its address or state"};
   std::string name = textOf(in, "name");
-  EndpointLife incarnation(numberOf(in, "life"));
+  EndpointIncarnation incarnation(numberOf(in, "life"));
   return EndpointRecord{makeEndpointId(name, incarnation),
                         name,
                         incarnation,
--- a/lib/Direct/EndpointPicker.cpp
+++ b/lib/Direct/EndpointPicker.cpp
@@ -48,14 +48,14 @@
 
 const EndpointState *
 EndpointPicker::pickIsolated(const CallState &call,
-                             const std::set<LifeDigest> &others,
+                             const std::set<IncarnationDigest> &others,
                              bool mustBeIsolated, TimePoint now) const {
   std::vector<const EndpointState *> states = statesOf(call.Service);
   std::vector<const EndpointState *> usable;
   // All ranks of a group stall when one of them crashes.
   std::map<GroupId, unsigned> running;
   for (const EndpointState *it : states) {
-    bool isShared = others.contains(it->Life);
+    bool isShared = others.contains(it->Incarnation);
     if (obstacleAt(*it, call, now) != Obstacle::None ||
         (isShared && mustBeIsolated))
       continue;
@@ -68,13 +68,13 @@
     return nullptr;
   for (const EndpointState *it : states)
     if (auto group = running.find(it->Group); group != running.end())
-      group->second += Book.totalLoad(*it, now).Running;
+      group->second += Table.totalLoad(*it, now).Running;
   std::shuffle(usable.begin(), usable.end(), Random);
   auto costOfIt = [&](const EndpointState *it) {
     bool isGrouped = !it->Group.get().empty();
-    return std::tuple(isDoubtful(*it, now), others.contains(it->Life),
+    return std::tuple(isDoubtful(*it, now), others.contains(it->Incarnation),
                       isGrouped ? running.at(it->Group) : 0U,
-                      Book.totalLoad(*it, now).Running);
+                      Table.totalLoad(*it, now).Running);
   };
   return *std::min_element(usable.begin(), usable.end(),
                            [&](const EndpointState *a, const EndpointState *b) {
@@ -85,7 +85,7 @@
 std::vector<const EndpointState *>
 EndpointPicker::statesOf(const ServiceId &service) const {
   std::vector<const EndpointState *> out;
-  for (const auto &[id, state] : Book.states())
+  for (const auto &[id, state] : Table.states())
     if (state.Record.Service == service)
       out.push_back(&state);
   return out;
@@ -102,7 +102,7 @@
                                        std::size_t endpoints,
                                        TimePoint now) const {
   double others = Arrivals.perSecond(service, now) *
-                  static_cast<double>(Book.livePeers(now));
+                  static_cast<double>(Table.livePeers(now));
   double unreported =
       others * std::chrono::duration<double>(ReportDelay).count();
   return static_cast<std::size_t>(
@@ -112,17 +112,17 @@
 bool EndpointPicker::isDoubtful(const EndpointState &state,
                                 TimePoint now) const {
   return state.IsMissing || now < state.SuspectUntil ||
-         Book.gapOf(state, now) > Limits.SlowGap;
+         Table.gapOf(state, now) > Limits.SlowGap;
 }
 
 Obstacle EndpointPicker::obstacleAt(const EndpointState &state,
                                     const CallState &call,
                                     TimePoint now) const {
-  if (state.Record.IsLeaving || Closed.isLeaving(state.Life))
+  if (state.Record.IsLeaving || Excluded.isLeaving(state.Incarnation))
     return Obstacle::Leaving;
   if (call.Tried.contains(state.Record.Id))
     return Obstacle::Tried;
-  if (Closed.isResting(state.Life, now))
+  if (Excluded.isInBackoff(state.Incarnation, now))
     return Obstacle::Resting;
   if (now < state.FullUntil || now < state.ReplacedUntil || state.MustReport)
     return Obstacle::Closed;
@@ -137,18 +137,18 @@
   double limit = state.Record.Slots * (isEngine ? 1.0 : Limits.PlainOverload);
   // All ranks of a group wait for the slowest one, so a slow rank's share of
   // requests is reduced by its slowdown factor.
-  bool isFull = Book.totalLoad(state, now).Running >=
-                limit / EndpointBook::slowdownOf(state, now);
+  bool isFull = Table.totalLoad(state, now).Running >=
+                limit / EndpointTable::slowdownOf(state, now);
   if (isFull)
     return Obstacle::Full;
-  return Rates.hasRoom(state.Life, now) ? Obstacle::None
-                                        : Obstacle::RateLimited;
+  return Rates.hasCapacity(state.Incarnation, now) ? Obstacle::None
+                                                   : Obstacle::RateLimited;
 }
 
 ObstacleCounts EndpointPicker::countObstacles(const CallState &call,
                                               TimePoint now) const {
   ObstacleCounts out{};
-  for (const auto &[id, state] : Book.states())
+  for (const auto &[id, state] : Table.states())
     if (state.Record.Service == call.Service)
       ++out.at(static_cast<std::size_t>(obstacleAt(state, call, now)));
   return out;
@@ -159,14 +159,14 @@
 bool EndpointPicker::canFinish(const EndpointState &state,
                                const CallState &call, TimePoint now) const {
   const ServiceRule *service = call.Request.Config->findService(call.Service);
-  const EngineFigures &engine = *service->Engine;
-  unsigned tokens = engine.UsualAnswer;
-  if (call.Request.Tokens.Answer > 0)
-    tokens = std::min(tokens, call.Request.Tokens.Answer);
+  const EngineCosts &engine = *service->Engine;
+  unsigned tokens = engine.TypicalOutputTokens;
+  if (call.Request.Tokens.Output > 0)
+    tokens = std::min(tokens, call.Request.Tokens.Output);
   // At least one more event is always expected.
   unsigned parts =
-      std::max(tokens / engine.StepsPerPass, call.ReceivedParts + 1);
-  return Book.confirmedGapOf(state, now) * (parts - call.ReceivedParts) <
+      std::max(tokens / engine.StepsPerIteration, call.ReceivedParts + 1);
+  return Table.confirmedGapOf(state, now) * (parts - call.ReceivedParts) <
          call.Deadline - now;
 }
 
@@ -176,15 +176,17 @@
 /// on the expert map, which changes just as fast.
 double EndpointPicker::costOf(const EndpointState &state, const CallState &call,
                               TimePoint now) const {
-  EndpointLoad load = Book.totalLoad(state, now);
+  EndpointLoad load = Table.totalLoad(state, now);
   const ServiceRule *service = call.Request.Config->findService(call.Service);
   if (!service || !service->Engine)
     return double(load.Running) / state.Record.Slots;
-  const EngineFigures &engine = *service->Engine;
+  const EngineCosts &engine = *service->Engine;
   double each = std::chrono::duration<double>(engine.StepPerRequest).count() *
-                engine.StepsPerPass;
-  double prefill = engine.ReadTokensPerSecond > 0
-                       ? load.Unread / engine.ReadTokensPerSecond
-                       : 0;
-  return (load.Running * each + prefill) * EndpointBook::slowdownOf(state, now);
+                engine.StepsPerIteration;
+  double prefill =
+      engine.PrefillTokensPerSecond > 0
+          ? load.PendingPromptTokens / engine.PrefillTokensPerSecond
+          : 0;
+  return (load.Running * each + prefill) *
+         EndpointTable::slowdownOf(state, now);
 }
--- a/lib/Direct/EndpointBook.cpp
+++ b/lib/Direct/EndpointTable.cpp
@@ -1,11 +1,11 @@
-//===- EndpointBook.cpp - load and health of each endpoint ----------------===//
+//===- EndpointTable.cpp - load and health of each endpoint ---------------===//
 //
-// See EndpointBook.h. An endpoint that the list no longer contains is kept
+// See EndpointTable.h. An endpoint that the list no longer contains is kept
 // until its running requests have ended.
 //
 //===----------------------------------------------------------------------===//
 
-#include "ospreyspur/Direct/EndpointBook.h"
+#include "ospreyspur/Direct/EndpointTable.h"
 
 #include <algorithm>
 #include <set>
@@ -20,7 +20,7 @@
   return {state.Record.Service, state.Group};
 }
 
-void EndpointBook::setEndpoints(const std::vector<ListedEndpoint> &endpoints) {
+void EndpointTable::setEndpoints(const std::vector<ListedEndpoint> &endpoints) {
   std::set<EndpointId> present;
   for (const ListedEndpoint &it : endpoints) {
     auto [at, isNew] = States.try_emplace(it.Record.Id);
@@ -28,8 +28,8 @@
     // A group that is being formed would reject requests, and each rejection
     // leads to a retry, which the retry budget limits.
     if (isNew) {
-      state.MustReport = it.Record.TellsState;
-      state.Life = digestLife(it.Record.Id);
+      state.MustReport = it.Record.AnswersStatusQueries;
+      state.Incarnation = digestIncarnation(it.Record.Id);
     }
     state.Record = it.Record;
     state.IsMissing = it.IsMissing;
@@ -43,31 +43,31 @@
   }
 }
 
-void EndpointBook::setPeerLoad(const std::string &peer,
-                               const std::vector<EndpointLoad> &loads,
-                               TimePoint now) {
+void EndpointTable::setPeerLoad(const std::string &peer,
+                                const std::vector<EndpointLoad> &loads,
+                                TimePoint now) {
   PeerLoad &kept = Peers[peer];
   kept.At = now;
   kept.Loads.clear();
   for (const EndpointLoad &it : loads) {
     kept.Loads[it.Endpoint] = it;
-    EndpointState *state = it.Pace > 0 ? findMutable(it.Endpoint) : nullptr;
+    EndpointState *state = it.Slowdown > 0 ? findMutable(it.Endpoint) : nullptr;
     if (!state)
       continue;
-    state->Pace = it.Pace;
+    state->Slowdown = it.Slowdown;
     state->SlowdownAt = now;
   }
 }
 
-void EndpointBook::onStarted(const EndpointId &id, unsigned promptTokens) {
+void EndpointTable::onStarted(const EndpointId &id, unsigned promptTokens) {
   if (EndpointState *it = findMutable(id)) {
     ++it->OwnRequests;
     it->OwnPendingTokens += promptTokens;
   }
 }
 
-void EndpointBook::onFirstByte(const EndpointId &id, unsigned promptTokens,
-                               TimePoint now) {
+void EndpointTable::onFirstByte(const EndpointId &id, unsigned promptTokens,
+                                TimePoint now) {
   dropPendingPrompt(id, promptTokens);
   if (EndpointState *it = findMutable(id)) {
     it->ProvenAt = now;
@@ -75,35 +75,36 @@
   }
 }
 
-void EndpointBook::onEvents(const EndpointId &id, Duration gap, TimePoint now) {
+void EndpointTable::onEvents(const EndpointId &id, Duration gap,
+                             TimePoint now) {
   if (EndpointState *it = findMutable(id))
     Gaps.onEvents(groupKey(*it), gap, now);
 }
 
-void EndpointBook::onSilence(const EndpointId &id, Duration silence,
-                             TimePoint now) {
+void EndpointTable::onSilence(const EndpointId &id, Duration silence,
+                              TimePoint now) {
   if (EndpointState *it = findMutable(id))
     Gaps.onSilence(groupKey(*it), silence, now);
 }
 
-Duration EndpointBook::gapOf(const EndpointState &state, TimePoint now) const {
+Duration EndpointTable::gapOf(const EndpointState &state, TimePoint now) const {
   return state.Group.get().empty() ? Duration::zero()
                                    : Gaps.gapOf(groupKey(state), now);
 }
 
-Duration EndpointBook::confirmedGapOf(const EndpointState &state,
-                                      TimePoint now) const {
+Duration EndpointTable::confirmedGapOf(const EndpointState &state,
+                                       TimePoint now) const {
   return state.Group.get().empty() ? Duration::zero()
                                    : Gaps.confirmedGapOf(groupKey(state), now);
 }
 
-void EndpointBook::dropPendingPrompt(const EndpointId &id,
-                                     unsigned promptTokens) {
+void EndpointTable::dropPendingPrompt(const EndpointId &id,
+                                      unsigned promptTokens) {
   if (EndpointState *it = findMutable(id))
     it->OwnPendingTokens -= std::min(it->OwnPendingTokens, promptTokens);
 }
 
-void EndpointBook::onEnded(const EndpointId &id, bool wasDecoding) {
+void EndpointTable::onEnded(const EndpointId &id, bool wasDecoding) {
   EndpointState *it = findMutable(id);
   if (it && it->OwnRequests > 0)
     --it->OwnRequests;
@@ -111,7 +112,7 @@
     Gaps.onEnded(groupKey(*it));
 }
 
-void EndpointBook::onSuccess(const EndpointId &id, TimePoint now) {
+void EndpointTable::onSuccess(const EndpointId &id, TimePoint now) {
   if (EndpointState *it = findMutable(id)) {
     it->ProvenAt = now;
     it->ConsecutiveFailures = 0;
@@ -121,7 +122,7 @@
   }
 }
 
-void EndpointBook::onFailure(const EndpointId &id, TimePoint now) {
+void EndpointTable::onFailure(const EndpointId &id, TimePoint now) {
   EndpointState *it = findMutable(id);
   // Failures during the suspicion time count as one failure.
   if (!it || now < it->SuspectUntil)
@@ -131,19 +132,19 @@
   it->ConsecutiveFailures = std::min(it->ConsecutiveFailures + 1, MaxDoublings);
 }
 
-void EndpointBook::onFailedResponse(const EndpointId &id, TimePoint now) {
+void EndpointTable::onFailedResponse(const EndpointId &id, TimePoint now) {
   EndpointState *it = findMutable(id);
   if (it && ++it->ConsecutiveFailedResponses >= SuspectFailedResponses)
     onFailure(id, now);
 }
 
-void EndpointBook::onFull(const EndpointId &id, TimePoint now) {
+void EndpointTable::onFull(const EndpointId &id, TimePoint now) {
   EndpointState *it = findMutable(id);
   if (!it)
     return;
   // The rejected request itself still counts as running.
   bool hadCapacity = totalLoad(*it, now).Running <= it->Record.Slots / 2;
-  if (hadCapacity && it->Record.TellsState) {
+  if (hadCapacity && it->Record.AnswersStatusQueries) {
     for (EndpointState *member : groupOf(*it)) {
       member->MustReport = true;
       member->QueryAt = now;
@@ -153,19 +154,19 @@
   extendFull(*it, now);
 }
 
-void EndpointBook::extendFull(EndpointState &state, TimePoint now) {
+void EndpointTable::extendFull(EndpointState &state, TimePoint now) {
   Duration duration = FullTime * (1U << state.ConsecutiveFull);
   state.FullUntil = now + std::min(duration, LongestFullTime);
   state.ConsecutiveFull = std::min(state.ConsecutiveFull + 1, MaxDoublings);
 }
 
-void EndpointBook::clearExpiredFull(TimePoint now) {
+void EndpointTable::clearExpiredFull(TimePoint now) {
   for (auto &[id, state] : States)
     if (state.FullUntil <= now)
       state.FullUntil = TimePoint();
 }
 
-std::optional<TimePoint> EndpointBook::nextFree() const {
+std::optional<TimePoint> EndpointTable::nextFree() const {
   std::optional<TimePoint> next;
   for (const auto &[id, state] : States)
     if (state.FullUntil != TimePoint() && (!next || state.FullUntil < *next))
@@ -173,10 +174,10 @@
   return next;
 }
 
-std::vector<EndpointId> EndpointBook::onIncarnationEnded(const EndpointId &id,
-                                                         TimePoint now) {
+std::vector<EndpointId> EndpointTable::onIncarnationEnded(const EndpointId &id,
+                                                          TimePoint now) {
   EndpointState *ended = findMutable(id);
-  if (!ended || !ended->Record.TellsState)
+  if (!ended || !ended->Record.AnswersStatusQueries)
     return {};
   std::vector<EndpointId> out;
   for (EndpointState *it : groupOf(*ended)) {
@@ -187,7 +188,7 @@
   return out;
 }
 
-void EndpointBook::onReplaced(const EndpointId &id, TimePoint now) {
+void EndpointTable::onReplaced(const EndpointId &id, TimePoint now) {
   EndpointState *it = findMutable(id);
   if (!it)
     return;
@@ -196,30 +197,30 @@
   it->ReplacedUntil = now + ReplacedTime;
 }
 
-void EndpointBook::mergeReplaced(const std::vector<LifeDigest> &incarnations,
-                                 TimePoint now) {
+void EndpointTable::mergeReplaced(
+    const std::vector<IncarnationDigest> &incarnations, TimePoint now) {
   if (incarnations.empty())
     return;
   for (auto &[id, state] : States)
-    if (std::find(incarnations.begin(), incarnations.end(), state.Life) !=
-        incarnations.end())
+    if (std::find(incarnations.begin(), incarnations.end(),
+                  state.Incarnation) != incarnations.end())
       state.ReplacedUntil = now + ReplacedTime;
 }
 
-std::vector<LifeDigest> EndpointBook::takeReplacedReport() {
-  std::vector<LifeDigest> out;
+std::vector<IncarnationDigest> EndpointTable::takeReplacedReport() {
+  std::vector<IncarnationDigest> out;
   for (auto &[id, state] : States) {
     if (state.RemainingReplacedReports == 0 ||
         out.size() >= MaxReplacedPerReport)
       continue;
     --state.RemainingReplacedReports;
-    out.push_back(state.Life);
+    out.push_back(state.Incarnation);
   }
   return out;
 }
 
 std::vector<EndpointRecord>
-EndpointBook::takeStatusQueries(const MayQuery &mayQuery, TimePoint now) {
+EndpointTable::takeStatusQueries(const MayQuery &mayQuery, TimePoint now) {
   std::vector<EndpointRecord> out;
   for (auto &[id, state] : States) {
     if (!state.MustReport || now < state.QueryAt)
@@ -236,8 +237,8 @@
 }
 
 std::vector<EndpointRecord>
-EndpointBook::takeSlowdownQueries(const MayQuery &mayQuery, TimePoint now,
-                                  std::mt19937_64 &random) {
+EndpointTable::takeSlowdownQueries(const MayQuery &mayQuery, TimePoint now,
+                                   std::mt19937_64 &random) {
   std::vector<EndpointRecord> out;
   std::size_t others = livePeers(now);
   // Each entry's interval is uniform in [0, 2 * SlowdownInterval * entries], so
@@ -246,8 +247,8 @@
       others > 0 ? 2 * SlowdownInterval * int(others + 1) : Duration();
   std::uniform_int_distribution<Duration::rep> turn(0, turns.count());
   for (auto &[id, state] : States) {
-    bool isSlow =
-        state.Record.TellsState && gapOf(state, now) >= SlowIterationGap;
+    bool isSlow = state.Record.AnswersStatusQueries &&
+                  gapOf(state, now) >= SlowIterationGap;
     if (!isSlow || state.MustReport) {
       state.QuerySlowdownAt.reset();
       continue;
@@ -266,7 +267,7 @@
   return out;
 }
 
-std::optional<TimePoint> EndpointBook::nextStatusQuery() const {
+std::optional<TimePoint> EndpointTable::nextStatusQuery() const {
   std::optional<TimePoint> next;
   for (const auto &[id, state] : States)
     if (state.MustReport && (!next || state.QueryAt < *next))
@@ -274,40 +275,40 @@
   return next;
 }
 
-void EndpointBook::onTold(const EndpointId &id,
-                          const std::optional<EndpointCondition> &condition,
-                          TimePoint now) {
+void EndpointTable::onStatusReport(const EndpointId &id,
+                                   const std::optional<EndpointStatus> &status,
+                                   TimePoint now) {
   EndpointState *reporter = findMutable(id);
-  if (reporter && condition) {
-    reporter->Pace = condition->Pace;
+  if (reporter && status) {
+    reporter->Slowdown = status->Slowdown;
     reporter->SlowdownAt = now;
     reporter->SlowdownReportedAt = now;
   }
   if (!reporter || !reporter->MustReport)
     return;
-  if (!condition) {
+  if (!status) {
     onNoResponse(*reporter, now);
     return;
   }
-  reporter->Group = condition->Group;
+  reporter->Group = status->Group;
   reporter->UnresponsiveUntil = TimePoint();
-  bool isFull = condition->Running >= reporter->Record.Slots;
-  if (condition->IsOpen && isFull)
+  bool isFull = status->Running >= reporter->Record.Slots;
+  if (status->IsOpen && isFull)
     extendFull(*reporter, now);
   // Whether the group accepts requests is the same for all its ranks; the load
   // is the endpoint's own.
   for (EndpointState *it : groupOf(*reporter)) {
-    it->MustReport = !condition->IsOpen;
+    it->MustReport = !status->IsOpen;
     it->QueryAt = std::max(now + queryInterval(now), it->UnresponsiveUntil);
   }
-  if (condition->IsOpen && !isFull)
+  if (status->IsOpen && !isFull)
     reporter->ProvenAt = now;
 }
 
 /// A status query without a response says nothing about the group, so another
 /// member is queried at once. Otherwise a group of which only this one endpoint
 /// is unreachable would stay closed to this entry for as long.
-void EndpointBook::onNoResponse(EndpointState &queried, TimePoint now) {
+void EndpointTable::onNoResponse(EndpointState &queried, TimePoint now) {
   onFailure(queried.Record.Id, now);
   queried.QueryAt = now + queryInterval(now);
   for (EndpointState *it : groupOf(queried)) {
@@ -319,14 +320,14 @@
   queried.UnresponsiveUntil = now + QueryTimeout;
 }
 
-Duration EndpointBook::queryInterval(TimePoint now) const {
+Duration EndpointTable::queryInterval(TimePoint now) const {
   std::size_t entries = livePeers(now) + 1;
   return QueryInterval *
          ((entries + MaxQueriesPerInterval - 1) / MaxQueriesPerInterval);
 }
 
 /// Returns \p state and the other endpoints of its group.
-std::vector<EndpointState *> EndpointBook::groupOf(EndpointState &state) {
+std::vector<EndpointState *> EndpointTable::groupOf(EndpointState &state) {
   if (state.Group.get().empty())
     return {&state};
   std::vector<EndpointState *> out;
@@ -336,50 +337,51 @@
   return out;
 }
 
-const EndpointState *EndpointBook::find(const EndpointId &id) const {
+const EndpointState *EndpointTable::find(const EndpointId &id) const {
   auto it = States.find(id);
   return it == States.end() ? nullptr : &it->second;
 }
 
-const EndpointState *EndpointBook::findLife(LifeDigest incarnation) const {
+const EndpointState *
+EndpointTable::findIncarnation(IncarnationDigest incarnation) const {
   auto it = std::find_if(States.begin(), States.end(),
                          [incarnation](const auto &state) {
-                           return state.second.Life == incarnation;
+                           return state.second.Incarnation == incarnation;
                          });
   return it == States.end() ? nullptr : &it->second;
 }
 
-EndpointLoad EndpointBook::totalLoad(const EndpointState &state,
-                                     TimePoint now) const {
+EndpointLoad EndpointTable::totalLoad(const EndpointState &state,
+                                      TimePoint now) const {
   EndpointLoad out{state.Record.Id, state.OwnRequests, state.OwnPendingTokens};
   for (const auto &[name, peer] : Peers) {
     auto it = peer.Loads.find(state.Record.Id);
     if (it == peer.Loads.end() || now - peer.At >= MaxPeerLoadAge)
       continue;
     out.Running += it->second.Running;
-    out.Unread += it->second.Unread;
+    out.PendingPromptTokens += it->second.PendingPromptTokens;
   }
   return out;
 }
 
-std::vector<EndpointLoad> EndpointBook::ownLoads(TimePoint now) const {
+std::vector<EndpointLoad> EndpointTable::ownLoads(TimePoint now) const {
   std::vector<EndpointLoad> out;
   for (const auto &[id, state] : States) {
     bool isReported = now - state.SlowdownReportedAt < SlowdownInterval;
     if (state.OwnRequests > 0 || isReported)
       out.push_back({id, state.OwnRequests, state.OwnPendingTokens,
-                     isReported ? state.Pace : 0.0});
+                     isReported ? state.Slowdown : 0.0});
   }
   return out;
 }
 
-std::size_t EndpointBook::livePeers(TimePoint now) const {
+std::size_t EndpointTable::livePeers(TimePoint now) const {
   return std::count_if(Peers.begin(), Peers.end(), [now](const auto &it) {
     return now - it.second.At < MaxPeerLoadAge;
   });
 }
 
-EndpointState *EndpointBook::findMutable(const EndpointId &id) {
+EndpointState *EndpointTable::findMutable(const EndpointId &id) {
   auto it = States.find(id);
   return it == States.end() ? nullptr : &it->second;
 }
--- a/lib/Direct/EventCutter.cpp
+++ b/lib/Direct/EventSplitter.cpp
@@ -1,10 +1,10 @@
-//===- EventCutter.cpp - splits a byte stream into events -----------------===//
+//===- EventSplitter.cpp - splits a byte stream into events ---------------===//
 //
 // An event ends with an empty line. Lines end with LF or CR LF.
 //
 //===----------------------------------------------------------------------===//
 
-#include "ospreyspur/Direct/EventCutter.h"
+#include "ospreyspur/Direct/EventSplitter.h"
 
 using namespace ospreyspur;
 
@@ -18,7 +18,7 @@
   return end;
 }
 
-std::string EventCutter::add(std::string_view data) {
+std::string EventSplitter::add(std::string_view data) {
   Incomplete.append(data);
   std::size_t n = completeLength(Incomplete);
   std::string complete = Incomplete.substr(0, n);
@@ -27,7 +27,7 @@
   return complete;
 }
 
-void EventCutter::recordIds(std::string_view events) {
+void EventSplitter::recordIds(std::string_view events) {
   constexpr std::string_view Field = "id:";
   while (!events.empty()) {
     std::size_t end = events.find('\n');
--- a/lib/Direct/RetryWindow.cpp
+++ b/lib/Direct/RetryWindow.cpp
@@ -25,12 +25,12 @@
 
 double RetryWindow::allowed(const Counts &counts, std::size_t entries,
                             TimePoint now) const {
-  double share = entries > 0 ? Bounds.Allowance / double(entries) : 0;
-  double fromRatio = Bounds.Ratio * double(counts.Requests.size());
-  if (!Begin || now - *Begin >= Bounds.Window)
+  double share = entries > 0 ? Limits.Allowance / double(entries) : 0;
+  double fromRatio = Limits.Ratio * double(counts.Requests.size());
+  if (!Begin || now - *Begin >= Limits.Window)
     return SafePart * (fromRatio + share);
   using Seconds = std::chrono::duration<double>;
-  double age = Seconds(now - *Begin) / Seconds(Bounds.Window);
+  double age = Seconds(now - *Begin) / Seconds(Limits.Window);
   return FirstWindowPart * (fromRatio + share * age);
 }
 
@@ -50,7 +50,7 @@
 
 void RetryWindow::dropExpired(Counts &counts, TimePoint now) const {
   auto drop = [&](std::deque<TimePoint> &times) {
-    while (!times.empty() && times.front() <= now - Bounds.Window)
+    while (!times.empty() && times.front() <= now - Limits.Window)
       times.pop_front();
   };
   drop(counts.Requests);
--- a/lib/Experts/CoordinatorWatch.cpp
+++ b/lib/Experts/CoordinatorWatch.cpp
@@ -17,7 +17,7 @@
                                         unsigned rank, TimePoint now) {
   if (holder != Holder) {
     Holder = holder;
-    onMoving();
+    onProgress();
   }
   if (!SuspectedAt)
     SuspectedAt = now;
@@ -31,16 +31,16 @@
   Duration delay = std::min(RankDelay * int(rank), MaxRankDelay);
   if (isTrusted && now - *QueriedAt < ReplyTimeout + delay)
     return StallAdvice::Wait;
-  onMoving();
+  onProgress();
   return StallAdvice::TakeOver;
 }
 
-void CoordinatorWatch::onAnswer(TimePoint now) {
+void CoordinatorWatch::onQueryReply(TimePoint now) {
   QueriedAt.reset();
   TrustedUntil = now + TrustTime;
 }
 
-void CoordinatorWatch::onMoving() {
+void CoordinatorWatch::onProgress() {
   SuspectedAt.reset();
   QueriedAt.reset();
   TrustedUntil = TimePoint();
--- a/lib/Experts/DemandMeter.cpp
+++ b/lib/Experts/DemandMeter.cpp
@@ -48,13 +48,13 @@
 double DemandMeter::total() const { return sumOf(Demand); }
 
 bool DemandMeter::isSettled(TimePoint now) const {
-  return Changes == 0 || SamplesSinceShift >= Limits.SettlingSamples ||
+  return Shifts == 0 || SamplesSinceShift >= Limits.SettlingSamples ||
          now - ShiftedAt >= Limits.MaxSettlingTime;
 }
 
 /// The longer the demand has been stable, the longer older samples count.
 void DemandMeter::fade(TimePoint now) {
-  Duration stableTime = Changes == 0 ? Limits.HalfLife : now - ShiftedAt;
+  Duration stableTime = Shifts == 0 ? Limits.HalfLife : now - ShiftedAt;
   Duration halfLife =
       std::clamp(stableTime, Limits.ShortestHalfLife, Limits.HalfLife);
   double age = double((now - FadedAt).count()) / double(halfLife.count());
@@ -78,7 +78,7 @@
   AverageDifference += (difference - AverageDifference) / double(Comparisons);
   if (!isShift)
     return;
-  ++Changes;
+  ++Shifts;
   ShiftedAt = now;
   // Older samples contain more of the demand from before the shift.
   std::size_t kept = std::min(RecentCounts.size(), Limits.SamplesKeptAtShift);
--- a/lib/Experts/DemandSampler.cpp
+++ b/lib/Experts/DemandSampler.cpp
@@ -11,13 +11,13 @@
 using namespace ospreyspur;
 
 bool DemandSampler::isSameCount(const RankStatus &status) const {
-  return Life == status.Life && Formation == status.Formation &&
+  return Incarnation == status.Incarnation && Formation == status.Formation &&
          LastCounts.size() == status.Counts.size();
 }
 
 void DemandSampler::begin(const RankStatus &status) {
   IsSampling = true;
-  Life = status.Life;
+  Incarnation = status.Incarnation;
   Formation = status.Formation;
   LastCounts = status.Counts;
 }
@@ -68,8 +68,8 @@
   double bytes = double(ranks) * double(counts);
   Duration normalInterval = spread(bytes, Limits.BytesPerSecond);
   if (normalInterval > Limits.MaxDesiredInterval &&
-      Limits.MostBytesPerSecond > 0)
+      Limits.MaxBytesPerSecond > 0)
     normalInterval = std::max(Limits.MaxDesiredInterval,
-                              spread(bytes, Limits.MostBytesPerSecond));
+                              spread(bytes, Limits.MaxBytesPerSecond));
   return std::max(Limits.MinInterval, normalInterval);
 }
--- a/lib/Experts/ReachPlanner.cpp
+++ b/lib/Experts/DirectReadPlanner.cpp
@@ -1,28 +1,29 @@
-//===- ReachPlanner.cpp - direct reads of ranks ---------------------------===//
+//===- DirectReadPlanner.cpp - direct reads of ranks ----------------------===//
 //
-// See ReachPlanner.h.
+// See DirectReadPlanner.h.
 //
 //===----------------------------------------------------------------------===//
 
-#include "ospreyspur/Experts/ReachPlanner.h"
+#include "ospreyspur/Experts/DirectReadPlanner.h"
 
 #include <algorithm>
 #include <utility>
 
 using namespace ospreyspur;
 
-void ReachPlanner::onHeard(unsigned rank, const TcpAddress &address,
-                           TimePoint now) {
+void DirectReadPlanner::onAgentReport(unsigned rank, const TcpAddress &address,
+                                      TimePoint now) {
   ReportedAt[rank] = now;
-  onFound(rank, address);
+  onRankAddress(rank, address);
 }
 
-void ReachPlanner::onFound(unsigned rank, const TcpAddress &address) {
+void DirectReadPlanner::onRankAddress(unsigned rank,
+                                      const TcpAddress &address) {
   Addresses[rank] = address;
   ForeignAddresses.erase(address);
 }
 
-void ReachPlanner::setCandidates(std::vector<TcpAddress> addresses) {
+void DirectReadPlanner::setCandidates(std::vector<TcpAddress> addresses) {
   Candidates = std::move(addresses);
   // An address that has left the list may later belong to another rank.
   std::set<TcpAddress> present(Candidates.begin(), Candidates.end());
@@ -32,27 +33,27 @@
                 [&](const auto &it) { return !present.contains(it.second); });
 }
 
-bool ReachPlanner::isHeard(unsigned rank, TimePoint now) const {
+bool DirectReadPlanner::isReporting(unsigned rank, TimePoint now) const {
   auto it = ReportedAt.find(rank);
   return it != ReportedAt.end() && now - it->second < AgentTimeout;
 }
 
-std::vector<unsigned> ReachPlanner::silentRanks(unsigned size,
-                                                TimePoint now) const {
+std::vector<unsigned> DirectReadPlanner::silentRanks(unsigned size,
+                                                     TimePoint now) const {
   std::vector<unsigned> out;
   for (unsigned rank = 0; rank < size; ++rank)
-    if (!isHeard(rank, now))
+    if (!isReporting(rank, now))
       out.push_back(rank);
   return out;
 }
 
-bool ReachPlanner::mayRead(std::size_t silent, unsigned size,
-                           TimePoint now) const {
+bool DirectReadPlanner::mayRead(std::size_t silent, unsigned size,
+                                TimePoint now) const {
   bool isNew = now - LedSince < JoinTime;
   return silent > 0 && (isNew || silent * 2 <= size);
 }
 
-bool ReachPlanner::takeListQuestion(unsigned size, TimePoint now) {
+bool DirectReadPlanner::takeListQuery(unsigned size, TimePoint now) {
   std::vector<unsigned> silent = silentRanks(size, now);
   bool isUnknown =
       std::any_of(silent.begin(), silent.end(),
@@ -63,7 +64,7 @@
   return true;
 }
 
-std::vector<TcpAddress> ReachPlanner::take(unsigned size, TimePoint now) {
+std::vector<TcpAddress> DirectReadPlanner::take(unsigned size, TimePoint now) {
   std::vector<unsigned> silent = silentRanks(size, now);
   if (now < NextRound || !mayRead(silent.size(), size, now))
     return {};
--- a/lib/Experts/ExpertMap.cpp
+++ b/lib/Experts/ExpertMap.cpp
@@ -19,7 +19,7 @@
 static constexpr std::size_t DigitsPerSlot = 4;
 static constexpr std::size_t MaxSlots = 1U << 20U;
 
-ExpertMap ospreyspur::makeDealtMap(const MapShape &shape) {
+ExpertMap ospreyspur::makeRoundRobinMap(const MapShape &shape) {
   ExpertMap map{shape, {}};
   std::vector<ExpertIndex> layer(shape.slotsPerLayer());
   for (std::size_t i = 0; i < layer.size(); ++i)
--- a/lib/Experts/LeaseHolder.cpp
+++ b/lib/Experts/LeaseHolder.cpp
@@ -65,7 +65,7 @@
     // An earlier incarnation of this process holds the lease; no other process
     // uses it.
     bool wasOwn = reply.Code == ResultCode::Ok && reply.Value == Self;
-    if (wasOwn && Limits.TakesOwn)
+    if (wasOwn && Limits.TakesOverOwnLease)
       takeOver(now);
     return;
   }
@@ -96,7 +96,7 @@
   NextCall = SentAt + Limits.RenewEvery;
 }
 
-void LeaseHolder::doubt(TimePoint now) {
+void LeaseHolder::suspend(TimePoint now) {
   if (Holder.get() == 0)
     return;
   Revision own = Holder;
@@ -114,7 +114,7 @@
   TimePoint next = NextCall;
   if (IsCalling)
     next = std::max(next, SentAt + Limits.CallTimeout);
-  if (Holder.get() > 0 && !Limits.OutlastsOutage)
+  if (Holder.get() > 0 && !Limits.ActsDuringOutage)
     next = std::min(next, ActUntil);
   return next;
 }
--- a/lib/Experts/MapDelta.cpp
+++ b/lib/Experts/MapDelta.cpp
@@ -46,7 +46,7 @@
 }
 
 /// The map that a group of \p shape is formed with.
-static GroupPlacement makeInitialMap(const DealtShape &shape) {
+static GroupPlacement makeInitialMap(const InitialMapShape &shape) {
   RankPlacement none(shape.Sets);
   GroupPlacement out(shape.Ranks, none);
   for (std::uint32_t expert = 0; expert < shape.Experts; ++expert)
@@ -56,8 +56,8 @@
 }
 
 /// The shape of the map that a group with the experts of \p map is formed with.
-static DealtShape shapeOf(const GroupPlacement &map) {
-  DealtShape out;
+static InitialMapShape shapeOf(const GroupPlacement &map) {
+  InitialMapShape out;
   out.Ranks = static_cast<std::uint32_t>(map.size());
   out.Sets = static_cast<std::uint32_t>(map.empty() ? 0 : map.front().size());
   for (const RankPlacement &rank : map)
@@ -88,13 +88,13 @@
 /// Encodes \p map as its differences from the map that its group was formed
 /// with; none if that is not shorter.
 static std::optional<MapDelta> encodeFromInitial(const GroupPlacement &map) {
-  DealtShape shape = shapeOf(map);
+  InitialMapShape shape = shapeOf(map);
   if (shape.Ranks == 0)
     return std::nullopt;
   std::optional<MapDelta> out = difference(makeInitialMap(shape), map);
   if (!out || lengthOf(*out) >= lengthOf(map))
     return std::nullopt;
-  out->Dealt = shape;
+  out->Initial = shape;
   return out;
 }
 
@@ -123,9 +123,9 @@
 std::optional<MapDelta> SentMaps::initialDelta(const MapOrder &order) {
   if (InitialDeltaOf != order.Map) {
     InitialDeltaOf = order.Map;
-    Dealt = encodeFromInitial(*order.Map);
+    Initial = encodeFromInitial(*order.Map);
   }
-  return Dealt;
+  return Initial;
 }
 
 /// Applies \p delta to \p map. Returns false if \p map lacks one of the places.
@@ -150,13 +150,13 @@
   return true;
 }
 
-bool ToldMap::complete(MapOrder &order) {
+bool ReceivedMap::complete(MapOrder &order) {
   if (order.Delta) {
-    bool isFromInitial = order.Delta->Dealt.has_value();
+    bool isFromInitial = order.Delta->Initial.has_value();
     if (!isFromInitial && (!Map || Version != order.Delta->Base))
       return false;
     GroupPlacement whole =
-        isFromInitial ? makeInitialMap(*order.Delta->Dealt) : *Map;
+        isFromInitial ? makeInitialMap(*order.Delta->Initial) : *Map;
     if (!applyDelta(whole, *order.Delta))
       return false;
     order.Map = std::make_shared<const GroupPlacement>(std::move(whole));
--- a/lib/Experts/OrderLane.cpp
+++ b/lib/Experts/MapOrderQueue.cpp
@@ -1,27 +1,27 @@
-//===- OrderLane.cpp - paces maps on a coordinator's link -----------------===//
+//===- MapOrderQueue.cpp - paces maps on a coordinator's link -------------===//
 //
-// See OrderLane.h.
+// See MapOrderQueue.h.
 //
 //===----------------------------------------------------------------------===//
 
-#include "ospreyspur/Experts/OrderLane.h"
+#include "ospreyspur/Experts/MapOrderQueue.h"
 
 #include <algorithm>
 #include <utility>
 
 using namespace ospreyspur;
 
-void OrderLane::push(SendMapOrder order) {
+void MapOrderQueue::push(SendMapOrder order) {
   drop(order.Rank);
   Waiting.push_back(std::move(order));
 }
 
-void OrderLane::drop(unsigned rank) {
+void MapOrderQueue::drop(unsigned rank) {
   std::erase_if(Waiting,
                 [rank](const SendMapOrder &it) { return it.Rank == rank; });
 }
 
-std::optional<SendMapOrder> OrderLane::pop(TimePoint now) {
+std::optional<SendMapOrder> MapOrderQueue::pop(TimePoint now) {
   if (Waiting.empty() || now < FreeAt)
     return std::nullopt;
   SendMapOrder out = Waiting.front();
@@ -29,7 +29,7 @@
   return out;
 }
 
-void OrderLane::onSent(std::size_t bytes, TimePoint now) {
+void MapOrderQueue::onSent(std::size_t bytes, TimePoint now) {
   if (BytesPerSecond <= 0)
     return;
   std::chrono::duration<double> taken(double(bytes) / BytesPerSecond);
@@ -37,7 +37,7 @@
            std::chrono::duration_cast<Duration>(taken);
 }
 
-std::optional<TimePoint> OrderLane::nextTimer() const {
+std::optional<TimePoint> MapOrderQueue::nextTimer() const {
   if (Waiting.empty())
     return std::nullopt;
   return FreeAt;
--- a/lib/Experts/MapSwitch.cpp
+++ b/lib/Experts/MapSwitch.cpp
@@ -45,7 +45,7 @@
                                   TimePoint seen, TimePoint now) {
   recordStep(status, seen);
   auto before = Ranks.find(rank);
-  if (before != Ranks.end() && before->second.Life != status.Life)
+  if (before != Ranks.end() && before->second.Incarnation != status.Incarnation)
     forgetRank(rank, now);
   RankStatus &known = Ranks[rank];
   bool isSameMap = known.Formation == status.Formation &&
@@ -251,10 +251,10 @@
   return out;
 }
 
-std::vector<double> MapSwitch::paces() const {
+std::vector<double> MapSwitch::slowdowns() const {
   std::vector<double> out;
   for (const auto &[rank, status] : Ranks)
-    out.push_back(status.Pace);
+    out.push_back(status.Slowdown);
   return out;
 }
 
--- a/lib/Experts/MemberConsent.cpp
+++ b/lib/Experts/MemberConsent.cpp
@@ -10,7 +10,7 @@
 
 using namespace ospreyspur;
 
-void MemberConsent::onAlive(TimePoint now) {
+void MemberConsent::onActive(TimePoint now) {
   AreReportsStale = AreReportsStale || now - LastActiveAt >= Pause;
   LastActiveAt = now;
 }
--- a/lib/Experts/PlacementPlanner.cpp
+++ b/lib/Experts/PlacementPlanner.cpp
@@ -20,7 +20,7 @@
 public:
   PlanBuilder(const PlacementLimits &limits, const GroupPlacement &current,
               const std::vector<double> &demand,
-              const std::vector<double> &paces);
+              const std::vector<double> &slowdowns);
 
   PlacementPlan build();
 
@@ -45,7 +45,7 @@
 PlanBuilder::PlanBuilder(const PlacementLimits &limits,
                          const GroupPlacement &current,
                          const std::vector<double> &demand,
-                         const std::vector<double> &paces)
+                         const std::vector<double> &slowdowns)
     : Limits(limits), RankCount(current.size()) {
   std::size_t sets = current.empty() ? 0 : current.front().size();
   std::size_t experts = sets == 0 ? 0 : demand.size() / sets;
@@ -56,7 +56,7 @@
     auto first = demand.begin() + std::ptrdiff_t(set * experts);
     Sets.emplace_back(
         std::move(ranks),
-        std::vector<double>(first, first + std::ptrdiff_t(experts)), paces);
+        std::vector<double>(first, first + std::ptrdiff_t(experts)), slowdowns);
   }
   Best.resize(sets);
   IsKnown.resize(sets, false);
@@ -125,8 +125,9 @@
   return plan;
 }
 
-PlacementPlan PlacementPlanner::plan(const GroupPlacement &current,
-                                     const std::vector<double> &demand,
-                                     const std::vector<double> &paces) const {
-  return PlanBuilder(Limits, current, demand, paces).build();
+PlacementPlan
+PlacementPlanner::plan(const GroupPlacement &current,
+                       const std::vector<double> &demand,
+                       const std::vector<double> &slowdowns) const {
+  return PlanBuilder(Limits, current, demand, slowdowns).build();
 }
--- a/lib/Experts/SetPlacement.cpp
+++ b/lib/Experts/SetPlacement.cpp
@@ -32,17 +32,17 @@
 
 SetPlacement::SetPlacement(std::vector<std::vector<ExpertNumber>> ranks,
                            std::vector<double> demand,
-                           std::vector<double> paces)
+                           std::vector<double> slowdowns)
     : Ranks(std::move(ranks)), Demand(std::move(demand)),
-      Paces(std::move(paces)), Holders(Demand.size()),
+      Slowdowns(std::move(slowdowns)), Holders(Demand.size()),
       Loads(Ranks.size(), 0.0) {
-  Paces.resize(Ranks.size(), 1.0);
+  Slowdowns.resize(Ranks.size(), 1.0);
   for (unsigned rank = 0; rank < Ranks.size(); ++rank)
     for (ExpertNumber it : Ranks[rank])
       Holders[it].push_back(rank);
   for (unsigned rank = 0; rank < Ranks.size(); ++rank)
     for (ExpertNumber it : Ranks[rank])
-      Loads[rank] += share(it) * Paces[rank];
+      Loads[rank] += share(it) * Slowdowns[rank];
   Mean = std::accumulate(Demand.begin(), Demand.end(), 0.0) /
          double(std::max<std::size_t>(Loads.size(), 1));
   for (double it : Loads)
@@ -70,7 +70,7 @@
 void SetPlacement::changeLoad(unsigned rank, double by) const {
   double before = Loads[rank];
   SavedLoads.push_back({rank, before});
-  Loads[rank] += by * Paces[rank];
+  Loads[rank] += by * Slowdowns[rank];
   EighthPowerSum += eighthPower(Loads[rank]) - eighthPower(before);
 }
 
@@ -140,7 +140,7 @@
                        const std::function<bool(unsigned)> &mayTake) const {
   std::optional<ExpertCopy> best;
   for (unsigned hot : mostLoadedRanks()) {
-    if (Paces[hot] >= DropSlowdown)
+    if (Slowdowns[hot] >= DropSlowdown)
       considerDropping(hot, best);
     for (ExpertNumber expert : Ranks[hot])
       for (unsigned rank = 0; rank < Ranks.size(); ++rank)
--- a/lib/Experts/StatusFilter.cpp
+++ b/lib/Experts/StatusFilter.cpp
@@ -20,17 +20,18 @@
   if (address != Address)
     reset();
   Address = address;
-  bool isDue = now - LastReportAt >= Heartbeat || !status.Picks.empty();
+  bool isDue = now - LastReportAt >= Heartbeat || !status.SampledCounts.empty();
   if (LastReport && !isDue && !hasChanged(status))
     return std::nullopt;
   RankStatus out = status;
   out.Counts.clear();
-  bool hasPlacement = LastReport && LastReport->Life == status.Life &&
+  bool hasPlacement = LastReport &&
+                      LastReport->Incarnation == status.Incarnation &&
                       LastReport->Formation == status.Formation &&
                       LastReport->Map == status.Map;
   // Reports with samples include the placement again, in case the earlier
   // report was lost.
-  if (hasPlacement && status.Picks.empty())
+  if (hasPlacement && status.SampledCounts.empty())
     out.Placement.clear();
   LastReport = status;
   LastReportAt = now;
@@ -38,12 +39,13 @@
 }
 
 bool StatusFilter::hasChanged(const RankStatus &status) const {
-  return LastReport->Group != status.Group || LastReport->Life != status.Life ||
+  return LastReport->Group != status.Group ||
+         LastReport->Incarnation != status.Incarnation ||
          LastReport->Formation != status.Formation ||
          LastReport->Rank != status.Rank || LastReport->Size != status.Size ||
          LastReport->IsOpen != status.IsOpen || LastReport->Map != status.Map ||
          LastReport->Prepared != status.Prepared ||
          LastReport->Armed != status.Armed || LastReport->Held != status.Held ||
-         std::abs(LastReport->Pace - status.Pace) >
-             MinSlowdownChange * LastReport->Pace;
+         std::abs(LastReport->Slowdown - status.Slowdown) >
+             MinSlowdownChange * LastReport->Slowdown;
 }
--- a/lib/Http/CallerApi.cpp
+++ b/lib/Http/CallerApi.cpp
@@ -150,7 +150,7 @@
     return Error{ResultCode::UnknownService, "no such model or service"};
   bool isSafe = request.method() == http::verb::get ||
                 request.method() == http::verb::head;
-  out.IsRepeatable = service->second.IsRepeatable || isSafe;
+  out.IsRetryable = service->second.IsRetryable || isSafe;
   return out;
 }
 
--- a/lib/Http/EndpointPool.cpp
+++ b/lib/Http/EndpointPool.cpp
@@ -30,7 +30,7 @@
   return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-EndpointPool::Connection EndpointPool::takeKept(const EndpointId &id,
+EndpointPool::Connection EndpointPool::takeIdle(const EndpointId &id,
                                                 TimePoint now) {
   auto it = IdleConnections.find(id);
   while (it != IdleConnections.end() && !it->second.empty()) {
--- a/lib/Http/HttpClient.cpp
+++ b/lib/Http/HttpClient.cpp
@@ -33,7 +33,8 @@
     : Context(ioc), Server(std::move(server)) {}
 
 asio::awaitable<Result<HttpResponse>>
-HttpClient::call(HttpRequest request, Duration timeout, Repetition repetition) {
+HttpClient::call(HttpRequest request, Duration timeout,
+                 ResendPolicy resendPolicy) {
   request.keep_alive(true);
   request.prepare_payload();
   bool isLost = false;
@@ -45,8 +46,9 @@
         co_await exchange(std::move(kept), request, isLost);
     // Servers close idle connections. All others in Idle have been idle for
     // longer than the lost one, so they are dropped as well.
-    bool canRepeat = isLost && repetition == Repetition::AfterLostConnection;
-    if (!canRepeat)
+    bool canResend =
+        isLost && resendPolicy == ResendPolicy::AfterLostConnection;
+    if (!canResend)
       co_return response;
     Idle.clear();
   }
--- a/lib/Http/HttpServer.cpp
+++ b/lib/Http/HttpServer.cpp
@@ -78,7 +78,7 @@
   return n == 0 || (n < 0 && errno != EAGAIN && errno != EINTR);
 }
 
-void HttpExchange::watchHangUp(std::function<void()> onDisconnect) {
+void HttpExchange::watchDisconnect(std::function<void()> onDisconnect) {
   Watch = std::make_shared<DisconnectWatch>();
   Watch->OnDisconnect = std::move(onDisconnect);
   auto &socket = Stream.socket();
@@ -213,7 +213,7 @@
 
 void HttpServer::setLimits(const HttpLimits &limits) { State->Limits = limits; }
 
-void HttpServer::closeAfterAnswers() { State->ClosesAfterResponses = true; }
+void HttpServer::closeAfterResponses() { State->ClosesAfterResponses = true; }
 
 void HttpServer::stopAccepting() {
   auto &acceptor = State->Acceptor;
@@ -307,7 +307,7 @@
     if (shared->ClosesAfterResponses)
       exchange.closeAfterResponse();
     if (ec) {
-      exchange.cut();
+      exchange.abort();
       if (unsigned status = statusOfReadError(ec))
         co_await exchange.respond(status, "text/plain",
                                   "the request cannot be read\n");
--- a/lib/Ledger/Ledger.cpp
+++ b/lib/Ledger/Ledger.cpp
@@ -68,7 +68,7 @@
 
 bool Ledger::isAtCapacity() const {
   return Records.size() >= Limits.MaxRecords ||
-         ResponseBytes >= Limits.MaxAnswerBytes;
+         ResponseBytes >= Limits.MaxResponseBytes;
 }
 
 void Ledger::addVoid(const Ticket &ticket, ResultCode reason) {
@@ -99,7 +99,7 @@
   Record *it = find(id);
   assert(it && it->Status == State::Admitted &&
          "only a running request has data");
-  if (ResponseBytes + data.size() > Limits.MaxAnswerBytes)
+  if (ResponseBytes + data.size() > Limits.MaxResponseBytes)
     return ResultCode::AnswerTooLarge;
   it->Response.Body.append(data);
   ResponseBytes += data.size();
--- a/lib/Platform/PlatformClient.cpp
+++ b/lib/Platform/PlatformClient.cpp
@@ -73,7 +73,7 @@
 asio::awaitable<KvReply> PlatformClient::put(KvPut call, Duration timeout) {
   platform::StoreLease lease;
   if (call.Lease > Duration::zero()) {
-    HttpRequest grant = platform::makeGrant(call.Lease);
+    HttpRequest grant = platform::makeLeaseGrant(call.Lease);
     Result<HttpResponse> granted =
         co_await Client.call(std::move(grant), timeout);
     // Nothing was written, and a granted lease without a key expires.
@@ -101,7 +101,7 @@
   }
   if (reply.Code != ResultCode::Ok)
     co_return reply;
-  Result<Revision> written = platform::readWritten(response.value());
+  Result<Revision> written = platform::readWrittenRevision(response.value());
   if (!written)
     co_return makeReply(written.error().Code);
   reply.At = written.value();
@@ -112,15 +112,15 @@
 
 asio::awaitable<KvReply> PlatformClient::renew(KvRenew call, Duration timeout) {
   auto it = Leases.find(call.Key);
-  if (it == Leases.end() || it->second.Holder != call.Holder)
+  if (it == Leases.end() || it->second.WrittenRevision != call.WrittenRevision)
     co_return makeReply(ResultCode::NotFound);
-  HttpRequest request = platform::makeKeep(it->second.Lease);
+  HttpRequest request = platform::makeLeaseRenewal(it->second.Lease);
   Result<HttpResponse> response =
       co_await Client.call(std::move(request), timeout);
   if (!response)
     co_return makeReply(response.error().Code);
   KvReply reply = makeReply(platform::readStatus(response.value()));
-  reply.At = call.Holder;
+  reply.At = call.WrittenRevision;
   if (reply.Code == ResultCode::NotFound)
     Leases.erase(call.Key);
   co_return reply;
--- a/lib/Process/AgentGroup.cpp
+++ b/lib/Process/AgentGroup.cpp
@@ -41,7 +41,8 @@
                   [](const EndpointId &) {}}) {}
 
 void AgentGroup::start() {
-  Coordinator.setWanted(formatMap(makeDealtMap(Settings.Shape)));
+  Coordinator.setTargetMap(
+      formatMap(makeRoundRobinMap(Settings.MapDimensions)));
   apply(Member.start(monotonicNow()));
 }
 
@@ -96,7 +97,7 @@
                    .with("skew_after", plan->SkewAfter);
   Measures.count("map_moves_total", plan->Moves);
   Measures.set("map_skew_planned", plan->SkewAfter);
-  Coordinator.setWanted(formatMap(plan->Map));
+  Coordinator.setTargetMap(formatMap(plan->Map));
 }
 
 void AgentGroup::apply(const GroupActions &actions) {
--- a/lib/Process/AgentRole.cpp
+++ b/lib/Process/AgentRole.cpp
@@ -106,7 +106,7 @@
       [this](const std::shared_ptr<const RoutingSnapshot> &it) {
         onSnapshot(*it);
       };
-  handlers.Answer = [this](LinkId to, const Message &message) {
+  handlers.SendReply = [this](LinkId to, const Message &message) {
     Traffic.send(to, message);
   };
   return handlers;
--- a/lib/Process/AgentTraffic.cpp
+++ b/lib/Process/AgentTraffic.cpp
@@ -140,7 +140,7 @@
   request.body() = std::move(order.Body);
 
   HttpSink sink;
-  sink.OnHead = [this, id](const HttpRunHead &head) {
+  sink.OnHead = [this, id](const HttpResponseHead &head) {
     takePushback(id, head);
     apply(Node.onRunHead(id, head.Status,
                          std::string(head.Fields[http::field::content_type]),
@@ -160,7 +160,7 @@
 }
 
 /// Whether the endpoint has ended, or only cut the answer to \p id.
-void AgentTraffic::takePushback(RequestId id, const HttpRunHead &head) {
+void AgentTraffic::takePushback(RequestId id, const HttpResponseHead &head) {
   Pushback pushback =
       readPushback({head.Status, headerValues(head.Fields, RateHeader),
                     headerValues(head.Fields, "Retry-After"),
@@ -169,25 +169,25 @@
   EndpointId self(Settings.EndpointName);
   logMalformedPushback(self, pushback, Measures);
   apply(Node.onPushback(id, pushback, monotonicNow()));
-  auto nameOf = [&](LifeDigest) { return self; };
-  logRateLimits(Node.takeRateNotes(), nameOf, Node.rates().limitedCount(),
-                Measures);
-  if (Node.closed().isEmpty())
+  auto nameOf = [&](IncarnationDigest) { return self; };
+  logRateLimits(Node.takeRateLimitLogRecords(), nameOf,
+                Node.rates().limitedCount(), Measures);
+  if (Node.excluded().isEmpty())
     return;
-  logLeaving(Node.takeLeavingNotes(), nameOf, Measures);
-  if (Node.saidLeaving() && !std::exchange(IsAwaitingExit, true))
+  logLeaving(Node.takeLeavingLogRecords(), nameOf, Measures);
+  if (Node.hasAnnouncedLeaving() && !std::exchange(IsAwaitingExit, true))
     asio::co_spawn(Context, awaitExit(), asio::detached);
-  logBackoffs(Node.takeRestNotes(), nameOf,
-              Node.closed().restingCount(monotonicNow()), Measures);
+  logBackoffs(Node.takeBackoffLogRecords(), nameOf,
+              Node.excluded().backoffCount(monotonicNow()), Measures);
 }
 
 /// Detects the exit of an endpoint that is leaving. As such an endpoint gets no
 /// requests that would fail, an idle connection to it is kept open instead.
 asio::awaitable<void> AgentTraffic::awaitExit() {
   TimePoint end = monotonicNow() + MaxLeavingTime;
-  EndpointFate liveness = EndpointFate::Alive;
-  while (Node.saidLeaving() && monotonicNow() < end &&
-         liveness != EndpointFate::Ended) {
+  EndpointLiveness liveness = EndpointLiveness::Alive;
+  while (Node.hasAnnouncedLeaving() && monotonicNow() < end &&
+         liveness != EndpointLiveness::Exited) {
     co_await waitForClose(Context, EndpointAddress, end - monotonicNow());
     liveness = co_await checkLiveness(Context, EndpointAddress);
   }
@@ -195,18 +195,18 @@
   LOG(INFO) << LogEvent("endpoint.left")
                    .with("endpoint", Settings.EndpointName)
                    .with("fate", toString(liveness));
-  if (Node.saidLeaving())
-    apply(Node.onEndpointEnded(monotonicNow()));
+  if (Node.hasAnnouncedLeaving())
+    apply(Node.onEndpointExited(monotonicNow()));
 }
 
 asio::awaitable<ResultCode> AgentTraffic::classifyFailure(RequestId id) {
-  EndpointFate liveness = co_await checkLiveness(Context, EndpointAddress);
+  EndpointLiveness liveness = co_await checkLiveness(Context, EndpointAddress);
   const char *word = toString(liveness);
   Measures.count("endpoint_checks_total{fate=\"" + std::string(word) + "\"}");
   LOG(INFO) << LogEvent("endpoint.checked")
                    .with("endpoint", Settings.EndpointName)
                    .with("request", toHeader(id))
                    .with("fate", word);
-  co_return liveness == EndpointFate::Ended ? ResultCode::EndpointFailed
-                                            : ResultCode::AnswerBroken;
+  co_return liveness == EndpointLiveness::Exited ? ResultCode::EndpointFailed
+                                                 : ResultCode::AnswerBroken;
 }
--- a/lib/Process/CrashLog.cpp
+++ b/lib/Process/CrashLog.cpp
@@ -12,24 +12,24 @@
 
 using namespace ospreyspur;
 
-/// The name of the verdict \p standing in logs and metrics.
-static const char *wordOf(CrashStanding standing) {
-  switch (standing) {
-  case CrashStanding::Unknown:
+/// The name of the verdict \p verdict in logs and metrics.
+static const char *wordOf(CrashVerdict verdict) {
+  switch (verdict) {
+  case CrashVerdict::Unknown:
     return "innocent";
-  case CrashStanding::Suspect:
+  case CrashVerdict::Suspect:
     return "suspect";
-  case CrashStanding::Quarantined:
+  case CrashVerdict::Quarantined:
     return "quarantined";
   }
   return "";
 }
 
-void ospreyspur::logCrashes(const std::vector<CrashNote> &records,
+void ospreyspur::logCrashes(const std::vector<CrashLogRecord> &records,
                             const CrashTracker &tracker, Metrics &metrics) {
-  for (const CrashNote &record : records) {
+  for (const CrashLogRecord &record : records) {
     metrics.count("request_crashes_total{standing=\"" +
-                  std::string(wordOf(record.Standing)) + "\"}");
+                  std::string(wordOf(record.Verdict)) + "\"}");
     LOG(INFO) << LogEvent("request.crashed")
                      .with("id", record.Label)
                      .with("digest", toHex(record.Request))
@@ -37,8 +37,8 @@
                      .with("ran_ms", toMillis(record.Ran))
                      .with("crashes", record.Crashes)
                      .with("chance", record.Chance)
-                     .with("standing", wordOf(record.Standing))
-                     .with("from", record.IsTold ? "peer" : "own");
+                     .with("standing", wordOf(record.Verdict))
+                     .with("from", record.IsFromPeer ? "peer" : "own");
   }
-  metrics.set("requests_known_to_crash", double(tracker.rowCount()));
+  metrics.set("requests_known_to_crash", double(tracker.recordCount()));
 }
