--- a/lib/Process/DirectAttempt.cpp
+++ b/lib/Process/DirectAttempt.cpp
@@ -58,11 +58,11 @@
   Connection->Stream.expires_never();
   watchDeadline();
   IdleTimer.emplace(Connection->Stream.get_executor());
-  startIdleTimer(Order.Silence);
+  startIdleTimer(Order.MaxIdleTime);
   if (!co_await send() || !co_await readHead())
     co_return abortAttempt();
   bool isSuccess = Head.Status >= 200 && Head.Status < 300;
-  if (Head.IsEvents && isSuccess && Head.Verdict == AnswerVerdict::Own)
+  if (Head.IsEvents && isSuccess && Head.Kind == ResponseKind::Own)
     co_return co_await forwardEvents();
   co_return co_await forwardComplete();
 }
@@ -72,7 +72,7 @@
 asio::awaitable<EndpointPool::Connection> DirectAttempt::open() {
   const RouteRule &route = *Call.Request.Route;
   if (route.Kind != RequestKind::OnceOnly)
-    if (auto kept = Pool.takeKept(Order.Endpoint.Id, monotonicNow()))
+    if (auto kept = Pool.takeIdle(Order.Endpoint.Id, monotonicNow()))
       co_return kept;
   co_return co_await Pool.connect(Order.Endpoint.Address, ConnectTimeout);
 }
@@ -105,13 +105,13 @@
       co_return false;
     HttpResponse head;
     head.base() = Response->get().base();
-    Head = platform::readAnswer(head, Call.Request.Label);
-    Call.LastPushback = Head.Asked;
-    if (Head.Verdict != AnswerVerdict::OtherEndpoint)
-      Handlers.OnHead(Head.Asked,
+    Head = platform::parseEndpointResponse(head, Call.Request.Label);
+    Call.LastPushback = Head.ReceivedPushback;
+    if (Head.Kind != ResponseKind::OtherIncarnation)
+      Handlers.OnHead(Head.ReceivedPushback,
                       isOwnResponse() ? std::optional(SentAt) : std::nullopt);
-    if (Head.Verdict != AnswerVerdict::Foreign) {
-      CallerHead = platform::makeCallerHead(head);
+    if (Head.Kind != ResponseKind::Foreign) {
+      CallerHead = platform::makeCallerResponseHead(head);
       co_return true;
     }
     std::string ignored;
@@ -136,7 +136,8 @@
 /// alone ends no attempt, as the endpoint may continue, and only the DirectNode
 /// knows whether the request can migrate to another endpoint.
 void DirectAttempt::startIdleTimer(Duration pause) {
-  if (!Call.Request.Route->isRepeatable() || Order.Silence <= Duration::zero())
+  if (!Call.Request.Route->isRepeatable() ||
+      Order.MaxIdleTime <= Duration::zero())
     return;
   IdleTimer->expires_after(pause);
   IdleTimer->async_wait(
@@ -149,11 +150,11 @@
 void DirectAttempt::onIdleTimer() {
   TimePoint now = monotonicNow();
   Duration idle = ReadingSince ? now - *ReadingSince : Duration::zero();
-  if (idle < Order.Silence) {
-    startIdleTimer(Order.Silence - idle);
+  if (idle < Order.MaxIdleTime) {
+    startIdleTimer(Order.MaxIdleTime - idle);
     return;
   }
-  startIdleTimer(Order.Silence);
+  startIdleTimer(Order.MaxIdleTime);
   Handlers.OnIdle();
 }
 
@@ -189,18 +190,18 @@
 asio::awaitable<AttemptEnd> DirectAttempt::forwardComplete() {
   std::string body;
   bool isComplete = co_await readBody(body);
-  switch (Head.Verdict) {
-  case AnswerVerdict::Full:
+  switch (Head.Kind) {
+  case ResponseKind::Full:
     if (isComplete)
       keepConnection();
     co_return AttemptEnd::Full;
-  case AnswerVerdict::OtherEndpoint:
-    co_return AttemptEnd::OtherEndpoint;
-  case AnswerVerdict::Foreign:
-  case AnswerVerdict::Unusable:
+  case ResponseKind::OtherIncarnation:
+    co_return AttemptEnd::OtherIncarnation;
+  case ResponseKind::Foreign:
+  case ResponseKind::Unusable:
     co_return abortAttempt();
-  case AnswerVerdict::Own:
-  case AnswerVerdict::Failed:
+  case ResponseKind::Own:
+  case ResponseKind::Failed:
     break;
   }
   if (!isComplete)
@@ -208,7 +209,7 @@
   keepConnection();
   Call.Status = Head.Status;
   CallerHead.body() = std::move(body);
-  if (Head.Verdict == AnswerVerdict::Failed || Exchange.hasBegun()) {
+  if (Head.Kind == ResponseKind::Failed || Exchange.hasBegun()) {
     Call.FailedResponse = std::move(CallerHead);
     co_return AttemptEnd::Failed;
   }
@@ -232,7 +233,7 @@
     if (ec)
       co_return abortAttempt();
   }
-  if (Call.Events.hasRest())
+  if (Call.Events.hasIncompleteEvent())
     co_return abortAttempt();
   keepConnection();
   if (!Exchange.hasBegun())
@@ -262,14 +263,13 @@
 /// The result of an attempt whose connection failed. Drops a partial event, as
 /// the next attempt sends it from its start.
 AttemptEnd DirectAttempt::abortAttempt() const {
-  Call.Events.dropRest();
+  Call.Events.dropIncompleteEvent();
   return Exchange.hasBegun() ? AttemptEnd::BrokeOff : AttemptEnd::Lost;
 }
 
 bool DirectAttempt::isOwnResponse() const {
-  return Head.Verdict == AnswerVerdict::Own ||
-         Head.Verdict == AnswerVerdict::Failed ||
-         Head.Verdict == AnswerVerdict::Full;
+  return Head.Kind == ResponseKind::Own || Head.Kind == ResponseKind::Failed ||
+         Head.Kind == ResponseKind::Full;
 }
 
 /// Returns a connection on which nothing was sent to the pool.
--- a/lib/Process/DirectLiveness.cpp
+++ b/lib/Process/DirectLiveness.cpp
@@ -24,7 +24,7 @@
 /// Logs one line for each request to which an endpoint crash is attributed, and
 /// passes changes of the quarantine on.
 void DirectTraffic::logCrashes() {
-  ospreyspur::logCrashes(Node.takeCrashNotes(), Node.crashes(), Measures);
+  ospreyspur::logCrashes(Node.takeCrashLogRecords(), Node.crashes(), Measures);
   std::uint64_t change = Node.crashes().quarantineChanges();
   if (std::exchange(LastReportedChange, change) == change || !ReportQuarantine)
     return;
@@ -41,7 +41,7 @@
     Node.onIdlePeer(report.Node, now);
   Node.mergeReplaced(report.Replaced, now);
   if (report.IsNew)
-    Node.onPeerBegun(now);
+    Node.onPeerStarted(now);
   if (!report.Leaving.empty())
     apply(Node.onLeaving(report.Leaving, now));
   if (!report.Rates.empty())
@@ -60,7 +60,7 @@
 }
 
 asio::awaitable<void> DirectTraffic::checkEndpoint(EndpointRecord endpoint) {
-  EndpointFate liveness = co_await findLiveness(endpoint);
+  EndpointLiveness liveness = co_await findLiveness(endpoint);
   const char *word = toString(liveness);
   Measures.count("endpoint_checks_total{fate=\"" + std::string(word) + "\"}");
   LOG(INFO) << LogEvent("endpoint.checked")
@@ -69,14 +69,15 @@
   apply(Node.onChecked(endpoint.Id, liveness, monotonicNow()));
 }
 
-asio::awaitable<EndpointFate>
+asio::awaitable<EndpointLiveness>
 DirectTraffic::findLiveness(EndpointRecord endpoint) {
   // If the endpoint reports no incarnation, has a rate limit, is in backoff or
   // is leaving, a connection is opened without a status query, which would
   // count as a request.
-  bool reportsIncarnation = endpoint.TellsState &&
-                            endpoint.Life != EndpointLife(0) &&
-                            Node.takesQuestions(endpoint.Id, monotonicNow());
+  bool reportsIncarnation =
+      endpoint.AnswersStatusQueries &&
+      endpoint.Incarnation != EndpointIncarnation(0) &&
+      Node.acceptsStatusQueries(endpoint.Id, monotonicNow());
   if (!reportsIncarnation)
     co_return co_await checkLiveness(Context, endpoint.Address);
   auto isSameIncarnation =
@@ -85,7 +86,7 @@
     Result<RankStatus> status = co_await link.readReport();
     if (!status)
       co_return std::nullopt;
-    co_return status.value().Life.get() == endpoint.Life.get();
+    co_return status.value().Incarnation.get() == endpoint.Incarnation.get();
   };
   co_return co_await checkLiveness(Context, endpoint.Address,
                                    isSameIncarnation);
--- a/lib/Process/DirectPushback.cpp
+++ b/lib/Process/DirectPushback.cpp
@@ -27,17 +27,18 @@
 }
 
 void DirectTraffic::logPushback() {
-  auto nameOf = [this](LifeDigest life) {
-    const EndpointState *state = Node.book().findLife(life);
+  auto nameOf = [this](IncarnationDigest incarnation) {
+    const EndpointState *state =
+        Node.endpointTable().findIncarnation(incarnation);
     return state ? state->Record.Id : EndpointId();
   };
-  logRateLimits(Node.takeRateNotes(), nameOf, Node.rates().limitedCount(),
-                Measures);
-  if (Node.closed().isEmpty())
+  logRateLimits(Node.takeRateLimitLogRecords(), nameOf,
+                Node.rates().limitedCount(), Measures);
+  if (Node.excluded().isEmpty())
     return;
-  logLeaving(Node.takeLeavingNotes(), nameOf, Measures);
-  logBackoffs(Node.takeRestNotes(), nameOf,
-              Node.closed().restingCount(monotonicNow()), Measures);
+  logLeaving(Node.takeLeavingLogRecords(), nameOf, Measures);
+  logBackoffs(Node.takeBackoffLogRecords(), nameOf,
+              Node.excluded().backoffCount(monotonicNow()), Measures);
 }
 
 void DirectTraffic::logSharing() {
--- a/lib/Process/DirectRole.cpp
+++ b/lib/Process/DirectRole.cpp
@@ -123,7 +123,7 @@
     if (!listening)
       return listening;
   }
-  Traffic.beginLife();
+  Traffic.onProcessStarted();
   Stop.start();
   Watch.start();
   LOG(INFO) << LogEvent("direct.start")
--- a/lib/Process/DirectTraffic.cpp
+++ b/lib/Process/DirectTraffic.cpp
@@ -41,7 +41,7 @@
     return "complete";
   case AttemptEnd::Full:
     return "full";
-  case AttemptEnd::OtherEndpoint:
+  case AttemptEnd::OtherIncarnation:
     return "replaced";
   case AttemptEnd::NeverSent:
     return "never_sent";
@@ -58,13 +58,13 @@
 }
 
 /// The name of \p reason in the log.
-static const char *wordOf(MoveReason reason) {
+static const char *wordOf(MigrationReason reason) {
   switch (reason) {
-  case MoveReason::TooSlow:
+  case MigrationReason::TooSlow:
     return "too_slow";
-  case MoveReason::Silent:
+  case MigrationReason::Silent:
     return "silent";
-  case MoveReason::Quarantined:
+  case MigrationReason::Quarantined:
     return "quarantined";
   }
   return "";
@@ -101,7 +101,7 @@
                     TimePoint now = monotonicNow();
                     logSharing();
                     return LoadReport{Settings.Name,
-                                      Node.book().ownLoads(now),
+                                      Node.endpointTable().ownLoads(now),
                                       Node.takeCrashReport(now),
                                       Node.takeReplacedReport(),
                                       Node.takeRateReport(now),
@@ -152,7 +152,7 @@
     entries.insert(it.Name);
   }
   Loads.setPeers(peers);
-  if (snapshot->AreNodesListed)
+  if (snapshot->HasNodeList)
     Node.setListedEntries(std::move(entries), monotonicNow());
   apply(Node.onTimer(monotonicNow()));
   beginAccepting();
@@ -220,7 +220,7 @@
   DirectCall call(Context, request.value(), now);
   CallId id = call.Request.Id;
   Calls[id] = &call;
-  exchange.watchHangUp([this, id] { onCallerGone(id); });
+  exchange.watchDisconnect([this, id] { onCallerGone(id); });
   apply(Node.onCall(request.value(), now));
   co_await serve(exchange, call);
   Calls.erase(id);
@@ -231,9 +231,9 @@
   for (;;) {
     DirectEvent event = co_await call.Inbox.next();
     if (call.IsCallerGone) {
-      apply(Node.onCallGone(call.Request.Id, monotonicNow()));
+      apply(Node.onCallClosed(call.Request.Id, monotonicNow()));
       finish(call, ResultCode::Cancelled);
-      exchange.cut();
+      exchange.abort();
       co_return;
     }
     if (auto *order = std::get_if<StartAttempt>(&event)) {
@@ -250,10 +250,10 @@
     }
     finish(call, ResultCode::EndpointFailed);
     if (exchange.hasBegun() || !call.FailedResponse)
-      exchange.cut();
+      exchange.abort();
     else
       co_await exchange.respond(std::move(*call.FailedResponse));
-    apply(Node.onCallGone(call.Request.Id, monotonicNow()));
+    apply(Node.onCallClosed(call.Request.Id, monotonicNow()));
     co_return;
   }
 }
@@ -262,7 +262,7 @@
                                             DirectCall &call, EndCall end) {
   finish(call, end.Code);
   if (exchange.hasBegun()) {
-    exchange.cut();
+    exchange.abort();
     co_return;
   }
   co_await exchange.respond(
@@ -303,15 +303,15 @@
   Measures.set("requests_waiting", double(Node.waitingCount()));
   if (call.IsCallerGone)
     co_return;
-  if (end == AttemptEnd::Full || end == AttemptEnd::OtherEndpoint ||
+  if (end == AttemptEnd::Full || end == AttemptEnd::OtherIncarnation ||
       end == AttemptEnd::Withheld)
     LOG(INFO) << LogEvent("attempt.refused")
                      .with("id", call.Request.Label)
                      .with("endpoint", order.Endpoint.Id.get())
                      .with("end", wordOf(end))
                      .with("asked_rest_ms",
-                           call.LastPushback.Rest
-                               ? toMillis(*call.LastPushback.Rest)
+                           call.LastPushback.Backoff
+                               ? toMillis(*call.LastPushback.Backoff)
                                : -1)
                      .with("number", order.Number);
   if (running.connectionEnd() == ConnectionEnd::Endpoint)
@@ -345,7 +345,7 @@
 /// Logs one line for each request that begins to wait, with the number of
 /// endpoints of its service for each obstacle.
 void DirectTraffic::logWaits() {
-  for (const WaitNote &record : Node.takeWaitNotes()) {
+  for (const WaitLogRecord &record : Node.takeWaitLogRecords()) {
     auto it = Calls.find(record.Call);
     if (it == Calls.end())
       continue;
@@ -354,15 +354,15 @@
         .with("sent", record.Arrivals)
         .with("attempts_left", record.AttemptsLeft)
         .with("silent", record.IsSilent)
-        .with("may_repeat", record.HasRepeat)
+        .with("may_repeat", record.HasRetry)
         .with("entries", record.Entries);
-    for (std::size_t i = 0; i < ObstacleWords.size(); ++i)
-      line.with(ObstacleWords[i], record.Endpoints[i]);
+    for (std::size_t i = 0; i < ObstacleNames.size(); ++i)
+      line.with(ObstacleNames[i], record.Endpoints[i]);
     LOG(INFO) << line;
   }
 }
 
-void DirectTraffic::perform(AskEndpoint &action) {
+void DirectTraffic::perform(QueryEndpoint &action) {
   asio::co_spawn(Context, queryStatus(action.Endpoint), asio::detached);
 }
 
@@ -385,26 +385,30 @@
 asio::awaitable<void> DirectTraffic::queryStatus(EndpointRecord endpoint) {
   RankLink link(Context, endpoint.Address);
   Result<RankStatus> status = co_await link.readReport();
-  std::optional<EndpointCondition> condition;
+  std::optional<EndpointStatus> endpointStatus;
   // A later incarnation's report does not apply to the one that was queried,
   // which has exited.
-  bool isLater = status && status.value().Life.get() != endpoint.Life.get() &&
-                 endpoint.Life.get() != 0;
+  bool isLater =
+      status &&
+      status.value().Incarnation.get() != endpoint.Incarnation.get() &&
+      endpoint.Incarnation.get() != 0;
   if (status && !isLater) {
     bool isOpen = status.value().Group.get().empty() || status.value().IsOpen;
-    condition = EndpointCondition{status.value().Group, isOpen,
-                                  status.value().Running, status.value().Pace};
+    endpointStatus =
+        EndpointStatus{status.value().Group, isOpen, status.value().Running,
+                       status.value().Slowdown};
   }
   Measures.count("endpoint_questions_total");
-  bool takesRequests = condition && condition->IsOpen;
-  LOG(INFO) << LogEvent("endpoint.told")
-                   .with("endpoint", endpoint.Id.get())
-                   .with("group", condition ? condition->Group.get() : "")
-                   .with("open", takesRequests)
-                   .with("running", condition ? condition->Running : 0)
-                   .with("pace", condition ? condition->Pace : 0.0)
-                   .with("detail", status ? "" : status.error().Detail);
-  apply(Node.onTold(endpoint.Id, condition, monotonicNow()));
+  bool takesRequests = endpointStatus && endpointStatus->IsOpen;
+  LOG(INFO)
+      << LogEvent("endpoint.told")
+             .with("endpoint", endpoint.Id.get())
+             .with("group", endpointStatus ? endpointStatus->Group.get() : "")
+             .with("open", takesRequests)
+             .with("running", endpointStatus ? endpointStatus->Running : 0)
+             .with("pace", endpointStatus ? endpointStatus->Slowdown : 0.0)
+             .with("detail", status ? "" : status.error().Detail);
+  apply(Node.onStatusReport(endpoint.Id, endpointStatus, monotonicNow()));
 }
 
 /// Closes the connection to the endpoint, so that the endpoint can cancel the
--- a/lib/Process/EntryRole.cpp
+++ b/lib/Process/EntryRole.cpp
@@ -65,7 +65,7 @@
         [this, it = std::move(it)] { Traffic.setSnapshot(it); });
   };
   // Entries accept no links from other processes.
-  handlers.Answer = [](LinkId, const Message &) {};
+  handlers.SendReply = [](LinkId, const Message &) {};
   return handlers;
 }
 
--- a/lib/Process/EntryTraffic.cpp
+++ b/lib/Process/EntryTraffic.cpp
@@ -95,21 +95,21 @@
   for (;;) {
     EntryAction action = co_await inbox.next();
     bool isSent = true;
-    if (auto *head = std::get_if<AnswerHead>(&action)) {
+    if (auto *head = std::get_if<ResponseHead>(&action)) {
       isEvents = head->ContentType.starts_with(EventStream);
       isSent = co_await exchange.beginStream(head->Status, head->ContentType);
       Measures.observe("first_byte", monotonicNow() - began);
-    } else if (auto *data = std::get_if<AnswerData>(&action)) {
+    } else if (auto *data = std::get_if<ResponseData>(&action)) {
       isSent = co_await exchange.writeStream(std::move(data->Data));
-    } else if (std::holds_alternative<AnswerEnd>(action)) {
+    } else if (std::holds_alternative<ResponseEnd>(action)) {
       finishCall(id, ResultCode::Ok, began);
       co_await exchange.endStream();
       co_return;
-    } else if (auto *ticket = std::get_if<AnswerTicket>(&action)) {
+    } else if (auto *ticket = std::get_if<ReturnTicket>(&action)) {
       finishCall(id, ResultCode::Ok, began);
       co_await exchange.respond(makeTicketResponse(ticket->Permit));
       co_return;
-    } else if (auto *error = std::get_if<AnswerError>(&action)) {
+    } else if (auto *error = std::get_if<ResponseError>(&action)) {
       finishCall(id, error->Code, began);
       if (!exchange.hasBegun()) {
         co_await exchange.respond(
@@ -121,7 +121,7 @@
       if (isEvents)
         co_await exchange.writeStream(
             "event: error\ndata: " + formatErrorBody(error->Code) + "\n\n");
-      exchange.cut();
+      exchange.abort();
       co_return;
     }
     if (!isSent) {
@@ -142,12 +142,13 @@
 /// Logs the crashes that are attributed to requests, and writes changes of the
 /// node's quarantine to the store.
 void EntryTraffic::reportCrashes() {
-  std::vector<CrashNote> records = Node.takeCrashNotes();
+  std::vector<CrashLogRecord> records = Node.takeCrashLogRecords();
   if (!records.empty())
     logCrashes(records, Node.crashes(), Measures);
   std::uint64_t change = Node.crashes().quarantineChanges();
   if (std::exchange(LastReportedChange, change) != change)
-    Quarantine.setOwn(Node.crashes().quarantined(), Node.crashes().cleared());
+    Quarantine.setLocalQuarantine(Node.crashes().quarantined(),
+                                  Node.crashes().cleared());
 }
 
 void EntryTraffic::perform(const SendToAgent &action) {
@@ -158,7 +159,7 @@
   });
 }
 
-void EntryTraffic::perform(CallPlatform action) {
+void EntryTraffic::perform(CallKeyValueStore action) {
   KvCallId id = action.Request.Id;
   auto onReply = [this, id](const KvReply &reply) {
     apply(Node.onKvReply(id, reply, monotonicNow()));
--- a/lib/Process/LivenessCheck.cpp
+++ b/lib/Process/LivenessCheck.cpp
@@ -48,7 +48,7 @@
   co_return ec == boost::beast::error::timeout;
 }
 
-asio::awaitable<EndpointFate>
+asio::awaitable<EndpointLiveness>
 ospreyspur::checkLiveness(asio::io_context &ioc, TcpAddress address,
                           IncarnationCheck isSameIncarnation) {
   for (unsigned i = 0; i < MaxLivenessChecks; ++i) {
@@ -58,21 +58,21 @@
     stream.expires_after(CheckTimeout);
     auto [ec] = co_await stream.async_connect(address, AsTuple);
     if (ec == asio::error::connection_refused)
-      co_return EndpointFate::Ended;
+      co_return EndpointLiveness::Exited;
     if (ec == boost::beast::error::timeout)
-      co_return EndpointFate::Unknown;
+      co_return EndpointLiveness::Unknown;
     if (ec)
       continue;
     if (!isSameIncarnation) {
       if (co_await staysOpen(stream))
-        co_return EndpointFate::Alive;
+        co_return EndpointLiveness::Alive;
       continue;
     }
     std::optional<bool> isSame = co_await isSameIncarnation();
     if (isSame)
-      co_return *isSame ? EndpointFate::Alive : EndpointFate::Ended;
+      co_return *isSame ? EndpointLiveness::Alive : EndpointLiveness::Exited;
   }
-  co_return EndpointFate::Unknown;
+  co_return EndpointLiveness::Unknown;
 }
 
 asio::awaitable<void> ospreyspur::waitForClose(asio::io_context &ioc,
@@ -89,7 +89,7 @@
   co_await sleepFor(ioc, CheckInterval);
 }
 
-const char *ospreyspur::toString(EndpointFate liveness) {
+const char *ospreyspur::toString(EndpointLiveness liveness) {
   static constexpr std::array Words = {"alive", "ended", "unknown"};
   return Words.at(static_cast<std::size_t>(liveness));
 }
--- a/lib/Process/PushbackLog.cpp
+++ b/lib/Process/PushbackLog.cpp
@@ -28,7 +28,7 @@
                                         .with("value", pushback.Malformed);
 }
 
-static const char *wordOf(const RateLimitNote &record) {
+static const char *wordOf(const RateLimitLogRecord &record) {
   if (!record.After)
     return "lifted";
   if (!record.Before)
@@ -37,42 +37,43 @@
 }
 
 void ospreyspur::logRateLimits(
-    const std::vector<RateLimitNote> &records,
-    const std::function<EndpointId(LifeDigest)> &nameOf,
+    const std::vector<RateLimitLogRecord> &records,
+    const std::function<EndpointId(IncarnationDigest)> &nameOf,
     std::size_t limitedCount, Metrics &metrics) {
-  for (const RateLimitNote &record : records) {
+  for (const RateLimitLogRecord &record : records) {
     metrics.count("rate_limit_changes_total{change=\"" +
                   std::string(wordOf(record)) + "\"}");
     LOG(INFO) << LogEvent("endpoint.rate")
-                     .with("endpoint", nameOf(record.Life).get())
+                     .with("endpoint", nameOf(record.Incarnation).get())
                      .with("change", wordOf(record))
                      .with("per_s", record.After.value_or(-1))
                      .with("before_per_s", record.Before.value_or(-1))
-                     .with("from", record.IsTold ? "entry" : "answer")
+                     .with("from", record.IsFromPeer ? "entry" : "answer")
                      .with("age_ms", toMillis(record.Age))
                      .with("rank", record.Rank)
-                     .with("senders", record.Holders);
+                     .with("senders", record.Owners);
   }
   if (!records.empty())
     metrics.set("endpoints_rate_limited", double(limitedCount));
 }
 
 void ospreyspur::logBackoffs(
-    const std::vector<RestNote> &records,
-    const std::function<EndpointId(LifeDigest)> &nameOf,
+    const std::vector<BackoffLogRecord> &records,
+    const std::function<EndpointId(IncarnationDigest)> &nameOf,
     std::size_t backoffCount, Metrics &metrics) {
-  for (const RestNote &record : records)
+  for (const BackoffLogRecord &record : records)
     LOG(INFO) << LogEvent("endpoint.rests")
-                     .with("endpoint", nameOf(record.Life).get())
-                     .with("rest_ms", toMillis(record.Rest));
+                     .with("endpoint", nameOf(record.Incarnation).get())
+                     .with("rest_ms", toMillis(record.Backoff));
   metrics.count("endpoint_rests_total", records.size());
   metrics.set("endpoints_resting", double(backoffCount));
 }
 
-void ospreyspur::logLeaving(const std::vector<LifeDigest> &incarnations,
-                            const std::function<EndpointId(LifeDigest)> &nameOf,
-                            Metrics &metrics) {
-  for (LifeDigest it : incarnations)
+void ospreyspur::logLeaving(
+    const std::vector<IncarnationDigest> &incarnations,
+    const std::function<EndpointId(IncarnationDigest)> &nameOf,
+    Metrics &metrics) {
+  for (IncarnationDigest it : incarnations)
     LOG(INFO) << LogEvent("endpoint.leaves").with("endpoint", nameOf(it).get());
   metrics.count("endpoint_leaves_total", incarnations.size());
 }
--- a/lib/Process/RankAgent.cpp
+++ b/lib/Process/RankAgent.cpp
@@ -50,7 +50,7 @@
 static SampleLimits makeSampleLimits(const RankSettings &settings) {
   SampleLimits limits;
   limits.BytesPerSecond = linkBytes(settings, SampleShare);
-  limits.MostBytesPerSecond = linkBytes(settings, LargestSampleShare);
+  limits.MaxBytesPerSecond = linkBytes(settings, LargestSampleShare);
   return limits;
 }
 
@@ -61,8 +61,8 @@
   limits.RenewEvery = std::chrono::milliseconds(900);
   limits.RetryEvery = std::chrono::milliseconds(1500);
   limits.CallTimeout = std::chrono::milliseconds(900);
-  limits.OutlastsOutage = true;
-  limits.TakesOwn = true;
+  limits.ActsDuringOutage = true;
+  limits.TakesOverOwnLease = true;
   return limits;
 }
 
@@ -115,7 +115,7 @@
                        .with("base", order->Delta->Base.get());
   } else if (std::holds_alternative<LeaderCheck>(message) && Member &&
              from.get() == Member->Lease.holder())
-    Coordinator.onAnswer(monotonicNow());
+    Coordinator.onQueryReply(monotonicNow());
 }
 
 Result<void> RankAgent::start() {
@@ -140,7 +140,7 @@
 void RankAgent::tick() {
   TimePoint now = monotonicNow();
   Timer.set(now + ReadInterval);
-  Consent.onAlive(now);
+  Consent.onActive(now);
   checkLease(now);
   if (!IsReading)
     spawn(readRank());
@@ -150,7 +150,7 @@
 
 void RankAgent::onOrderTimer() {
   TimePoint now = monotonicNow();
-  Consent.onAlive(now);
+  Consent.onActive(now);
   checkLease(now);
   apply(Switch.onTimer(now));
 }
@@ -175,7 +175,7 @@
   if (now - CompleteAt < MaxIncomplete && !isFenced)
     return;
   CompleteAt = now;
-  Member->Lease.doubt(now);
+  Member->Lease.suspend(now);
   updateLease();
 }
 
@@ -187,8 +187,8 @@
   if (!Member || !Member->Lease.isHeld(now))
     return false;
   return Settings.ChecksFences || Member->Lease.isConfirmed(now) ||
-         (OwnStatus &&
-          Consent.isFollowed(OwnStatus->Size, MemberConsent::Longest, now));
+         (OwnStatus && Consent.isFollowed(OwnStatus->Size,
+                                          MemberConsent::MaxChangeTime, now));
 }
 
 /// Whether this agent may begin to change the map.
@@ -196,8 +196,8 @@
   if (!canCoordinate(now))
     return false;
   return Settings.ChecksFences || Member->Lease.isConfirmed(now) ||
-         (OwnStatus &&
-          Consent.isFollowed(OwnStatus->Size, MemberConsent::Fresh, now));
+         (OwnStatus && Consent.isFollowed(OwnStatus->Size,
+                                          MemberConsent::MaxReportAge, now));
 }
 
 /// Whether this coordinator may bypass the agents of ranks on other hosts.
@@ -234,7 +234,7 @@
                                  .with("map", status.value().Map.get());
   OwnStatus = status.value();
   if (!OwnStatus->Counts.empty())
-    OwnStatus->Picks = Sampler.take(*OwnStatus, now);
+    OwnStatus->SampledCounts = Sampler.take(*OwnStatus, now);
   OwnStatus->Endpoint = Settings.EndpointAddress;
   if (!OwnStatus->Group.get().empty())
     onStatus(*OwnStatus);
@@ -262,7 +262,7 @@
 void RankAgent::watchForStall(const RankStatus &status) {
   TimePoint now = monotonicNow();
   if (!Stall.isStalled(status, now)) {
-    Coordinator.onMoving();
+    Coordinator.onProgress();
     return;
   }
   if (!Settings.ChecksFences)
@@ -309,7 +309,7 @@
   Switch.resign();
   Consent.clear();
   // The new group numbers its ranks independently of the previous one.
-  DirectReads = ReachPlanner();
+  DirectReads = DirectReadPlanner();
   DirectRanks.clear();
   // All agents of a group start together; a random delay lets one of them be
   // first.
@@ -368,23 +368,23 @@
   if (!Member || status.Group != Member->Group)
     return;
   TimePoint now = monotonicNow();
-  Consent.onAlive(now);
+  Consent.onActive(now);
   if (Result<TcpAddress> address = parseAddress(status.Endpoint))
-    DirectReads.onHeard(status.Rank, address.value(), now);
+    DirectReads.onAgentReport(status.Rank, address.value(), now);
   Consent.onReport(status.Rank, now);
   if (from)
     Links[status.Rank] = *from;
   else
     Links.erase(status.Rank);
-  if (!status.Picks.empty())
-    Demand.add(status.Picks, now);
+  if (!status.SampledCounts.empty())
+    Demand.add(status.SampledCounts, now);
   apply(Switch.onStatus(status.Rank, status, now, now));
   considerPlan();
 }
 
 void RankAgent::onReply(LinkId from, const MapOrderReply &reply) {
   TimePoint now = monotonicNow();
-  Consent.onAlive(now);
+  Consent.onActive(now);
   if (!canCoordinate(now))
     return;
   for (const auto &[rank, link] : Links)
@@ -413,7 +413,7 @@
       continue;
     MapOrder order =
         Sent.shorten(next->Rank, link->second, next->Order, next->Tries);
-    MapQueue.onSent(sizeOf(order), now);
+    MapQueue.onSent(encodedSize(order), now);
     Server.send(link->second, order);
   }
   std::optional<TimePoint> due = Switch.nextTimer();
@@ -433,7 +433,7 @@
                canBypass ? chooseHoldLink(action) : nullptr)
     spawn(sendDirectly(std::move(direct), action.Rank, action.Order));
   else if (directRank != DirectRanks.end() &&
-           !DirectReads.isHeard(action.Rank, monotonicNow()))
+           !DirectReads.isReporting(action.Rank, monotonicNow()))
     spawn(sendDirectly(directRank->second, action.Rank, action.Order));
   else if (std::shared_ptr<RankLink> other =
                canBypass ? chooseRetryLink(action) : nullptr)
@@ -445,7 +445,7 @@
 /// Queues orders with maps until the link has capacity, and sends other orders
 /// at once. A newer order to a rank replaces the one queued for this rank.
 void RankAgent::sendOrQueue(const SendMapOrder &action, LinkId link) {
-  if (OrderLane::mustWait(action.Order)) {
+  if (MapOrderQueue::mustWait(action.Order)) {
     MapQueue.push(action);
     Switch.onQueued(action.Rank, action.Order.Id);
     return;
--- a/lib/Process/RankBypass.cpp
+++ b/lib/Process/RankBypass.cpp
@@ -26,7 +26,7 @@
 void RankAgent::bypassSilentAgents(TimePoint now) {
   if (!OwnStatus)
     return;
-  if (DirectReads.takeListQuestion(OwnStatus->Size, now))
+  if (DirectReads.takeListQuery(OwnStatus->Size, now))
     spawn(readCandidates());
   for (const TcpAddress &it : DirectReads.take(OwnStatus->Size, now))
     spawn(readDirectly(it));
@@ -34,7 +34,7 @@
 
 /// Reads the list of endpoints to find ranks whose addresses are not known.
 asio::awaitable<void> RankAgent::readCandidates() {
-  KvCall call = KvList{platform::EndpointPrefix, true};
+  KvCall call = KvList{platform::EndpointKeyPrefix, true};
   KvReply reply = co_await Platform.ask(std::move(call), ListTimeout);
   if (reply.Code != ResultCode::Ok) {
     LOG(INFO) << LogEvent("rank.list_unknown")
@@ -69,11 +69,11 @@
   }
   unsigned rank = status.value().Rank;
   if (!Member || status.value().Group != Member->Group) {
-    DirectReads.onOther(address);
+    DirectReads.onForeignAddress(address);
     co_return;
   }
-  DirectReads.onFound(rank, address);
-  if (DirectReads.isHeard(rank, now))
+  DirectReads.onRankAddress(rank, address);
+  if (DirectReads.isReporting(rank, now))
     co_return;
   LOG_IF(INFO, !DirectRanks.contains(rank))
       << LogEvent("rank.reached")
@@ -102,7 +102,7 @@
 RankAgent::chooseRetryLink(const SendMapOrder &action) {
   auto status = Switch.ranks().find(action.Rank);
   if (!Settings.ChecksFences || action.Tries % 2 == 0 ||
-      OrderLane::mustWait(action.Order) || status == Switch.ranks().end())
+      MapOrderQueue::mustWait(action.Order) || status == Switch.ranks().end())
     return nullptr;
   Result<TcpAddress> address = parseAddress(status->second.Endpoint);
   if (!address || !RetriesInFlight.insert(action.Rank).second)
--- a/lib/Process/RankLink.cpp
+++ b/lib/Process/RankLink.cpp
@@ -16,7 +16,7 @@
 
 asio::awaitable<Result<std::string>> RankLink::fetch(HttpRequest request) {
   Result<HttpResponse> response = co_await Client.call(
-      std::move(request), CallTimeout, Repetition::AfterLostConnection);
+      std::move(request), CallTimeout, ResendPolicy::AfterLostConnection);
   if (!response)
     co_return response.error();
   if (response.value().result_int() != 200)
@@ -63,7 +63,7 @@
 /// Reads the rank's placement unless it is known already: a placement changes
 /// only with the rank's incarnation, the group's formation or the map.
 asio::awaitable<Result<void>> RankLink::readPlacement(RankStatus &out) {
-  std::tuple wanted(out.Life, out.Formation, out.Map);
+  std::tuple wanted(out.Incarnation, out.Formation, out.Map);
   if (PlacementOf != wanted) {
     HttpRequest request = platform::makePlacementCall();
     Result<std::string> body = co_await fetch(std::move(request));
@@ -85,7 +85,7 @@
   // same fencing token and the same effect, and a step that waits for the order
   // must not wait until the coordinator retries.
   Result<HttpResponse> response = co_await Client.call(
-      std::move(request), CallTimeout, Repetition::AfterLostConnection);
+      std::move(request), CallTimeout, ResendPolicy::AfterLostConnection);
   if (response)
     co_return platform::readOrderResult(response.value().result_int());
   // Nothing was sent if there was no connection.
--- a/lib/Process/RankPlans.cpp
+++ b/lib/Process/RankPlans.cpp
@@ -84,18 +84,18 @@
                    .with("group", Member->Group.get())
                    .with("version", Switch.version().get())
                    .with("copies", plan.Copies)
-                   .with("demands", Demand.changes())
+                   .with("demands", Demand.shifts())
                    .with("skew", plan.SkewBefore)
                    .with("skew_after", plan.SkewAfter);
 }
 
 PlacementPlan RankAgent::makePlan(bool isUrgent) const {
   ChangeBudget budget(EngineSettings->CopyTime);
-  PlacementLimits limits{EngineSettings->PlacesPerRank,
-                         EngineSettings->SparePlaces,
+  PlacementLimits limits{EngineSettings->SlotsPerRank,
+                         EngineSettings->SpareSlots,
                          budget.newPerRank(isUrgent), budget.minGain()};
   return PlacementPlanner(limits).plan(Switch.placement(), Demand.demand(),
-                                       Switch.paces());
+                                       Switch.slowdowns());
 }
 
 /// Logs one line a second about the group's steps and load imbalance, which
@@ -105,9 +105,9 @@
   if (now < NextGroupLog || !Switch.canBegin(now) || !matchesEngineSettings())
     return;
   NextGroupLog = now + GroupLogInterval;
-  PlacementLimits none{EngineSettings->PlacesPerRank, 0, 0, 0};
+  PlacementLimits none{EngineSettings->SlotsPerRank, 0, 0, 0};
   PlacementPlan present = PlacementPlanner(none).plan(
-      Switch.placement(), Demand.demand(), Switch.paces());
+      Switch.placement(), Demand.demand(), Switch.slowdowns());
   Measures.set("group_skew", present.SkewBefore);
   Measures.set("group_steps_per_second", Switch.stepsPerSecond());
   LOG(INFO) << LogEvent("group.state")
--- a/lib/Pushback/ClosedEndpoints.cpp
+++ b/lib/Pushback/ExcludedEndpoints.cpp
@@ -1,17 +1,17 @@
-//===- ClosedEndpoints.cpp - endpoints in backoff or leaving --------------===//
+//===- ExcludedEndpoints.cpp - endpoints in backoff or leaving ------------===//
 //
-// See ClosedEndpoints.h.
+// See ExcludedEndpoints.h.
 //
 //===----------------------------------------------------------------------===//
 
-#include "ospreyspur/Pushback/ClosedEndpoints.h"
+#include "ospreyspur/Pushback/ExcludedEndpoints.h"
 
 #include <algorithm>
 
 using namespace ospreyspur;
 
-void ClosedEndpoints::onRest(LifeDigest incarnation, Duration backoff,
-                             TimePoint now) {
+void ExcludedEndpoints::onBackoff(IncarnationDigest incarnation,
+                                  Duration backoff, TimePoint now) {
   std::erase_if(BackoffUntil,
                 [now](const auto &it) { return it.second <= now; });
   bool isNew = !BackoffUntil.contains(incarnation);
@@ -20,16 +20,17 @@
     return;
   TimePoint &until = BackoffUntil[incarnation];
   until = std::max(until, now + backoff);
-  if (isNew && Notes.size() < MaxNotes)
-    Notes.push_back({incarnation, backoff});
+  if (isNew && LogRecords.size() < MaxLogRecords)
+    LogRecords.push_back({incarnation, backoff});
 }
 
-TimePoint ClosedEndpoints::restUntil(LifeDigest incarnation) const {
+TimePoint ExcludedEndpoints::backoffUntil(IncarnationDigest incarnation) const {
   auto it = BackoffUntil.find(incarnation);
   return it == BackoffUntil.end() ? TimePoint() : it->second;
 }
 
-std::optional<TimePoint> ClosedEndpoints::nextEnd(TimePoint now) const {
+std::optional<TimePoint>
+ExcludedEndpoints::nextBackoffEnd(TimePoint now) const {
   std::optional<TimePoint> next;
   for (const auto &[incarnation, until] : BackoffUntil)
     if (until > now && (!next || until < *next))
@@ -37,13 +38,13 @@
   return next;
 }
 
-std::size_t ClosedEndpoints::restingCount(TimePoint now) const {
+std::size_t ExcludedEndpoints::backoffCount(TimePoint now) const {
   return std::count_if(BackoffUntil.begin(), BackoffUntil.end(),
                        [now](const auto &it) { return it.second > now; });
 }
 
-void ClosedEndpoints::onLeaving(LifeDigest incarnation, bool isFromPeer,
-                                TimePoint now) {
+void ExcludedEndpoints::onLeaving(IncarnationDigest incarnation,
+                                  bool isFromPeer, TimePoint now) {
   if (isLeaving(incarnation))
     return;
   std::erase_if(Leaving, [now](const auto &it) {
@@ -52,12 +53,12 @@
   if (Leaving.size() >= MaxEndpoints)
     return;
   Leaving[incarnation] = {now, isFromPeer ? 0 : LeavingAnnouncements};
-  if (LeavingNotes.size() < MaxNotes)
-    LeavingNotes.push_back(incarnation);
+  if (LeavingLogRecords.size() < MaxLogRecords)
+    LeavingLogRecords.push_back(incarnation);
 }
 
-std::vector<LifeDigest> ClosedEndpoints::takeLeavingReport() {
-  std::vector<LifeDigest> out;
+std::vector<IncarnationDigest> ExcludedEndpoints::takeLeavingReport() {
+  std::vector<IncarnationDigest> out;
   for (auto &[incarnation, it] : Leaving) {
     if (it.RemainingAnnouncements == 0 || out.size() >= MaxLeavingPerReport)
       continue;
--- a/lib/Pushback/Pushback.cpp
+++ b/lib/Pushback/Pushback.cpp
@@ -52,7 +52,7 @@
     seconds = std::max(0.0, std::difftime(*until, *from));
   }
   using Seconds = std::chrono::duration<double>;
-  Seconds backoff = std::min(Seconds(*seconds), Seconds(MaxRest));
+  Seconds backoff = std::min(Seconds(*seconds), Seconds(MaxBackoff));
   return std::chrono::duration_cast<Duration>(backoff);
 }
 
@@ -82,8 +82,8 @@
   if (!isRefusal(text.Status) || text.RetryAfters.empty())
     return out;
   if (text.RetryAfters.size() == 1)
-    out.Rest = parseBackoff(text.RetryAfters.front(), text.Date);
-  if (!out.Rest)
+    out.Backoff = parseBackoff(text.RetryAfters.front(), text.Date);
+  if (!out.Backoff)
     noteMalformed(text.RetryAfters, out);
   return out;
 }
--- a/lib/Pushback/RateLimits.cpp
+++ b/lib/Pushback/RateLimits.cpp
@@ -15,7 +15,7 @@
 /// Returns the rendezvous hashing weight of \p entry for \p incarnation. The
 /// finalizer of SplitMix64 gives the same weight in every process and build.
 static std::uint64_t rendezvousWeight(std::uint64_t entry,
-                                      LifeDigest incarnation) {
+                                      IncarnationDigest incarnation) {
   std::uint64_t n = entry ^ (incarnation.get() * 0x9e3779b97f4a7c15U);
   n = (n ^ (n >> 30U)) * 0xbf58476d1ce4e5b9U;
   n = (n ^ (n >> 27U)) * 0x94d049bb133111ebU;
@@ -38,7 +38,7 @@
     updateShare(incarnation, limit, now);
 }
 
-void RateLimits::updateShare(LifeDigest incarnation, Limit &limit,
+void RateLimits::updateShare(IncarnationDigest incarnation, Limit &limit,
                              TimePoint now) const {
   if (!limit.PerSecond)
     return;
@@ -56,9 +56,9 @@
   limit.Bucket.setRate(rate / double(limit.Owners), now);
 }
 
-void RateLimits::onAnswer(LifeDigest incarnation,
-                          std::optional<double> perSecond, TimePoint sentAt,
-                          TimePoint now) {
+void RateLimits::onResponse(IncarnationDigest incarnation,
+                            std::optional<double> perSecond, TimePoint sentAt,
+                            TimePoint now) {
   if (!perSecond && !Limits.contains(incarnation))
     return;
   if (!apply(incarnation, {perSecond, sentAt, now}, false, now))
@@ -70,17 +70,17 @@
   }
 }
 
-void RateLimits::mergeRecord(const RateLimitRow &row, TimePoint now) {
-  LimitUpdate update{row.PerSecond, now - row.SentAge - ReportDelay,
-                     now - row.HeardAge};
-  if (!apply(row.Life, update, true, now))
+void RateLimits::mergeRecord(const RateLimitRecord &record, TimePoint now) {
+  LimitUpdate update{record.PerSecond, now - record.SentAge - ReportDelay,
+                     now - record.ReceivedAge};
+  if (!apply(record.Incarnation, update, true, now))
     return;
-  Limits.at(row.Life).AnnouncedAt = now;
+  Limits.at(record.Incarnation).AnnouncedAt = now;
 }
 
 /// Applies \p update unless the known limit is later, or is stricter and of
 /// unknown order. Returns whether \p update is in force now.
-bool RateLimits::apply(LifeDigest incarnation, const LimitUpdate &update,
+bool RateLimits::apply(IncarnationDigest incarnation, const LimitUpdate &update,
                        bool isFromPeer, TimePoint now) {
   auto it = Limits.find(incarnation);
   if (it == Limits.end() && Limits.size() >= MaxEndpoints)
@@ -102,15 +102,15 @@
   updateShare(incarnation, limit, now);
   limit.RemainingAnnouncements = isFromPeer ? 0 : ChangeAnnouncements;
   limit.AnnouncedAt = now;
-  if (Notes.size() < MaxNotes)
-    Notes.push_back({incarnation, before, update.PerSecond,
-                     now - update.ReceivedAt, isFromPeer, limit.Rank,
-                     limit.Owners});
+  if (LogRecords.size() < MaxLogRecords)
+    LogRecords.push_back({incarnation, before, update.PerSecond,
+                          now - update.ReceivedAt, isFromPeer, limit.Rank,
+                          limit.Owners});
   return true;
 }
 
-std::vector<RateLimitRow> RateLimits::takeReport(TimePoint now) {
-  std::vector<RateLimitRow> out;
+std::vector<RateLimitRecord> RateLimits::takeReport(TimePoint now) {
+  std::vector<RateLimitRecord> out;
   for (auto &[incarnation, limit] : Limits) {
     if (limit.RemainingAnnouncements == 0 || out.size() >= MaxRecordsPerReport)
       continue;
@@ -121,7 +121,7 @@
   return out;
 }
 
-void RateLimits::tellAgain(TimePoint now) {
+void RateLimits::announceToNewEntry(TimePoint now) {
   if (now - NewEntryAnnouncedAt < NewEntryAnnounceInterval)
     return;
   NewEntryAnnouncedAt = now;
@@ -130,7 +130,8 @@
       limit.RemainingAnnouncements = std::max(limit.RemainingAnnouncements, 1U);
 }
 
-const RateLimits::Limit *RateLimits::findActive(LifeDigest incarnation) const {
+const RateLimits::Limit *
+RateLimits::findActive(IncarnationDigest incarnation) const {
   auto it = Limits.find(incarnation);
   bool isActive = it != Limits.end() && it->second.PerSecond;
   return isActive ? &it->second : nullptr;
@@ -145,25 +146,26 @@
   return limit.Rank < limit.Owners + extra;
 }
 
-bool RateLimits::isLimited(LifeDigest incarnation) const {
+bool RateLimits::isLimited(IncarnationDigest incarnation) const {
   return findActive(incarnation) != nullptr;
 }
 
-bool RateLimits::hasRoom(LifeDigest incarnation, TimePoint now) const {
+bool RateLimits::hasCapacity(IncarnationDigest incarnation,
+                             TimePoint now) const {
   const Limit *limit = findActive(incarnation);
   return !limit || (isOwner(*limit, now) && limit->Bucket.hasToken(now));
 }
 
-bool RateLimits::take(LifeDigest incarnation, TimePoint now) {
-  if (!hasRoom(incarnation, now))
+bool RateLimits::take(IncarnationDigest incarnation, TimePoint now) {
+  if (!hasCapacity(incarnation, now))
     return false;
   if (isLimited(incarnation))
     Limits.at(incarnation).Bucket.take(now);
   return true;
 }
 
-double RateLimits::roomUntil(LifeDigest incarnation, TimePoint now,
-                             TimePoint until) const {
+double RateLimits::capacityUntil(IncarnationDigest incarnation, TimePoint now,
+                                 TimePoint until) const {
   const Limit *limit = findActive(incarnation);
   if (!limit || !isOwner(*limit, now))
     return 0;
@@ -174,7 +176,7 @@
          std::floor(Seconds(until - next).count() * limit->Bucket.perSecond());
 }
 
-double RateLimits::namedRate(LifeDigest incarnation) const {
+double RateLimits::advertisedRate(IncarnationDigest incarnation) const {
   const Limit *limit = findActive(incarnation);
   return limit ? *limit->PerSecond : 0;
 }
@@ -191,7 +193,7 @@
   return next > now ? std::optional(next) : std::nullopt;
 }
 
-std::optional<TimePoint> RateLimits::nextRoom(TimePoint now) const {
+std::optional<TimePoint> RateLimits::nextCapacityAt(TimePoint now) const {
   std::optional<TimePoint> next;
   for (const auto &[incarnation, limit] : Limits) {
     std::optional<TimePoint> due = nextRoomOf(limit, now);
--- a/lib/Quarantine/CrashRelay.cpp
+++ b/lib/Quarantine/CrashRelay.cpp
@@ -14,10 +14,10 @@
   bool isNew = Entries.insert(from).second;
   auto count = static_cast<std::uint32_t>(Entries.size());
   if (isNew)
-    for (CrashReport &it : Crashes.allRows(now))
+    for (CrashReport &it : Crashes.allRecords(now))
       out.push_back({from, {"", count, std::move(it)}});
   bool hadAttempts = EntriesWithSuspects.erase(from) > 0;
-  if (!update.Report.Runs.empty())
+  if (!update.Report.SuspectAttempts.empty())
     EntriesWithSuspects.insert(from);
   if (update.Report.isEmpty() && !hadAttempts) {
     // A heartbeat.
--- a/lib/Quarantine/CrashTracker.cpp
+++ b/lib/Quarantine/CrashTracker.cpp
@@ -17,13 +17,13 @@
 /// endpoints hardly ever crashed.
 static constexpr double AssumedCrashes = 2;
 
-void CrashTracker::onCrash(RequestDigest request, LifeDigest incarnation,
+void CrashTracker::onCrash(RequestDigest request, IncarnationDigest incarnation,
                            Duration ran, std::size_t endpoints, TimePoint now) {
   if (request == RequestDigest())
     return;
   addIncarnation(incarnation, now);
-  auto known = Rows.find(request);
-  bool isQuarantined = known != Rows.end() && known->second.QuarantinedAt;
+  auto known = Records.find(request);
+  bool isQuarantined = known != Records.end() && known->second.QuarantinedAt;
   if (isQuarantined) {
     known->second.SeenAt = now;
     Incarnations.at(incarnation).IsExplained = true;
@@ -31,29 +31,29 @@
   }
   if (Incarnations.at(incarnation).IsExplained)
     return;
-  Row &row = rowOf(request, now);
-  row.SeenAt = now;
-  row.Endpoints = std::max<std::size_t>(endpoints, 1);
-  if (!addCrash(row, {incarnation, now, ran}))
+  Record &record = recordOf(request, now);
+  record.SeenAt = now;
+  record.Endpoints = std::max<std::size_t>(endpoints, 1);
+  if (!addCrash(record, {incarnation, now, ran}))
     return;
-  row.RemainingAnnouncements = Limits.Tellings;
-  row.VerdictAt = now + Limits.SettleTime;
+  record.RemainingAnnouncements = Limits.Announcements;
+  record.VerdictAt = now + Limits.SettleTime;
 }
 
-void CrashTracker::onWhole(RequestDigest request, TimePoint now) {
-  auto it = Rows.find(request);
-  if (it == Rows.end())
+void CrashTracker::onCompleteResponse(RequestDigest request, TimePoint now) {
+  auto it = Records.find(request);
+  if (it == Records.end())
     return;
-  Row &row = it->second;
-  if (row.Crashes.empty() && !row.QuarantinedAt)
+  Record &record = it->second;
+  if (record.Crashes.empty() && !record.QuarantinedAt)
     return;
-  clear(row, now);
-  row.RemainingAnnouncements = Limits.Tellings;
+  clear(record, now);
+  record.RemainingAnnouncements = Limits.Announcements;
 }
 
-void CrashTracker::onSeen(RequestDigest request, TimePoint now) {
-  auto it = Rows.find(request);
-  if (it != Rows.end())
+void CrashTracker::onReceived(RequestDigest request, TimePoint now) {
+  auto it = Records.find(request);
+  if (it != Records.end())
     it->second.SeenAt = now;
 }
 
@@ -63,46 +63,47 @@
   std::erase_if(Peers, [&](const auto &it) {
     return now - it.second.At >= Limits.PeerAttemptMaxAge;
   });
-  if (!report.Runs.empty())
-    Peers[peer] = {now, report.Runs};
+  if (!report.SuspectAttempts.empty())
+    Peers[peer] = {now, report.SuspectAttempts};
   else
     Peers.erase(peer);
   std::vector<RequestDigest> out;
-  for (const CrashRow &it : report.Rows)
+  for (const CrashRecord &it : report.Records)
     if (mergeRecord(it, now))
       out.push_back(it.Request);
   return out;
 }
 
 /// Returns whether the request is quarantined by this record.
-bool CrashTracker::mergeRecord(const CrashRow &in, TimePoint now) {
-  if (in.Request == RequestDigest() || in.SeenAge >= Limits.KeepRows)
+bool CrashTracker::mergeRecord(const CrashRecord &in, TimePoint now) {
+  if (in.Request == RequestDigest() || in.SeenAge >= Limits.KeepRecords)
     return false;
-  Row &row = rowOf(in.Request, now);
-  row.SeenAt = std::max(row.SeenAt, now - in.SeenAge);
-  row.Endpoints = std::max(row.Endpoints, in.Endpoints);
+  Record &record = recordOf(in.Request, now);
+  record.SeenAt = std::max(record.SeenAt, now - in.SeenAge);
+  record.Endpoints = std::max(record.Endpoints, in.Endpoints);
   if (in.ClearedAge &&
-      now - *in.ClearedAge > row.ClearedAt.value_or(TimePoint()))
-    clear(row, now - *in.ClearedAge);
-  for (const CrashTold &it : in.Crashes) {
-    addIncarnation(it.Life, now - it.Age);
-    if (Incarnations.at(it.Life).IsExplained)
+      now - *in.ClearedAge > record.ClearedAt.value_or(TimePoint()))
+    clear(record, now - *in.ClearedAge);
+  for (const ReportedCrash &it : in.Crashes) {
+    addIncarnation(it.Incarnation, now - it.Age);
+    if (Incarnations.at(it.Incarnation).IsExplained)
       continue;
-    if (addCrash(row, {it.Life, now - it.Age, it.Ran}) && !row.VerdictAt)
-      row.VerdictAt = now + Limits.SettleTime;
+    if (addCrash(record, {it.Incarnation, now - it.Age, it.Ran}) &&
+        !record.VerdictAt)
+      record.VerdictAt = now + Limits.SettleTime;
   }
-  if (row.QuarantinedAt)
+  if (record.QuarantinedAt)
     return false;
-  TimePoint cleared = row.ClearedAt.value_or(TimePoint());
+  TimePoint cleared = record.ClearedAt.value_or(TimePoint());
   if (in.QuarantinedAge && now - *in.QuarantinedAge > cleared) {
-    row.QuarantinedAt = now - *in.QuarantinedAge;
-    row.VerdictAt.reset();
+    record.QuarantinedAt = now - *in.QuarantinedAge;
+    record.VerdictAt.reset();
     ++Changes;
-    attributeCrashes(in.Request, row);
+    attributeCrashes(in.Request, record);
     return true;
   }
-  if (row.Crashes.empty() && !row.ClearedAt)
-    Rows.erase(in.Request);
+  if (record.Crashes.empty() && !record.ClearedAt)
+    Records.erase(in.Request);
   return false;
 }
 
@@ -111,26 +112,26 @@
   for (RequestDigest it : requests) {
     if (it == RequestDigest())
       continue;
-    Row &row = rowOf(it, now);
-    if (row.QuarantinedAt || row.ClearedAt)
+    Record &record = recordOf(it, now);
+    if (record.QuarantinedAt || record.ClearedAt)
       continue;
-    row.SeenAt = now;
-    row.QuarantinedAt = now;
+    record.SeenAt = now;
+    record.QuarantinedAt = now;
     ++Changes;
   }
 }
 
-std::vector<CrashRow> CrashTracker::takeRows(std::size_t entries,
-                                             TimePoint now) {
-  std::vector<CrashRow> out;
-  for (auto &[request, row] : Rows) {
-    if (row.RemainingAnnouncements == 0 ||
+std::vector<CrashRecord> CrashTracker::takeRecords(std::size_t entries,
+                                                   TimePoint now) {
+  std::vector<CrashRecord> out;
+  for (auto &[request, record] : Records) {
+    if (record.RemainingAnnouncements == 0 ||
         out.size() >= Limits.MaxReportRecords)
       continue;
-    --row.RemainingAnnouncements;
-    out.push_back(makeRecord(request, row, now));
+    --record.RemainingAnnouncements;
+    out.push_back(makeRecord(request, record, now));
   }
-  if (Rows.empty() || now < RefreshAt)
+  if (Records.empty() || now < RefreshAt)
     return out;
   RefreshAt = now + Limits.RefreshEvery * std::max<std::size_t>(entries, 1);
   expire(now);
@@ -138,13 +139,13 @@
   return out;
 }
 
-std::vector<CrashReport> CrashTracker::allRows(TimePoint now) {
+std::vector<CrashReport> CrashTracker::allRecords(TimePoint now) {
   expire(now);
   std::vector<CrashReport> out;
-  for (const auto &[request, row] : Rows) {
-    if (out.empty() || out.back().Rows.size() >= Limits.MaxReportRecords)
+  for (const auto &[request, record] : Records) {
+    if (out.empty() || out.back().Records.size() >= Limits.MaxReportRecords)
       out.emplace_back();
-    out.back().Rows.push_back(makeRecord(request, row, now));
+    out.back().Records.push_back(makeRecord(request, record, now));
   }
   return out;
 }
@@ -152,17 +153,17 @@
 /// Adds the next records of the rotation. Records of requests that have a
 /// single crash and are not quarantined are left out: an entry that missed the
 /// first announcements would not act differently.
-void CrashTracker::refresh(std::vector<CrashRow> &out, TimePoint now) {
-  auto it = Rows.upper_bound(LastRefreshed);
+void CrashTracker::refresh(std::vector<CrashRecord> &out, TimePoint now) {
+  auto it = Records.upper_bound(LastRefreshed);
   std::size_t added = 0;
-  for (std::size_t i = 0; i < Rows.size() && added < Limits.RefreshRecords;
+  for (std::size_t i = 0; i < Records.size() && added < Limits.RefreshRecords;
        ++i) {
-    if (it == Rows.end())
-      it = Rows.begin();
-    const Row &row = it->second;
-    if ((row.QuarantinedAt || row.Crashes.size() > 1) &&
+    if (it == Records.end())
+      it = Records.begin();
+    const Record &record = it->second;
+    if ((record.QuarantinedAt || record.Crashes.size() > 1) &&
         out.size() < Limits.MaxReportRecords) {
-      out.push_back(makeRecord(it->first, row, now));
+      out.push_back(makeRecord(it->first, record, now));
       LastRefreshed = it->first;
       ++added;
     }
@@ -170,75 +171,77 @@
   }
 }
 
-CrashRow CrashTracker::makeRecord(RequestDigest request, const Row &row,
-                                  TimePoint now) const {
-  CrashRow out;
+CrashRecord CrashTracker::makeRecord(RequestDigest request,
+                                     const Record &record,
+                                     TimePoint now) const {
+  CrashRecord out;
   out.Request = request;
-  out.Endpoints = row.Endpoints;
-  out.SeenAge = now - row.SeenAt;
-  for (const Crash &it : row.Crashes)
-    out.Crashes.push_back({it.Life, now - it.At, it.Ran});
-  if (row.ClearedAt)
-    out.ClearedAge = now - *row.ClearedAt;
-  if (row.QuarantinedAt)
-    out.QuarantinedAge = now - *row.QuarantinedAt;
+  out.Endpoints = record.Endpoints;
+  out.SeenAge = now - record.SeenAt;
+  for (const Crash &it : record.Crashes)
+    out.Crashes.push_back({it.Incarnation, now - it.At, it.Ran});
+  if (record.ClearedAt)
+    out.ClearedAge = now - *record.ClearedAt;
+  if (record.QuarantinedAt)
+    out.QuarantinedAge = now - *record.QuarantinedAt;
   return out;
 }
 
-CrashStanding CrashTracker::standingOf(RequestDigest request) const {
-  auto it = Rows.find(request);
-  if (it == Rows.end())
-    return CrashStanding::Unknown;
+CrashVerdict CrashTracker::verdictOf(RequestDigest request) const {
+  auto it = Records.find(request);
+  if (it == Records.end())
+    return CrashVerdict::Unknown;
   if (it->second.QuarantinedAt)
-    return CrashStanding::Quarantined;
-  return it->second.Crashes.empty() ? CrashStanding::Unknown
-                                    : CrashStanding::Suspect;
+    return CrashVerdict::Quarantined;
+  return it->second.Crashes.empty() ? CrashVerdict::Unknown
+                                    : CrashVerdict::Suspect;
 }
 
 unsigned CrashTracker::crashesOf(RequestDigest request) const {
-  auto it = Rows.find(request);
-  return it == Rows.end() ? 0
-                          : static_cast<unsigned>(it->second.Crashes.size());
+  auto it = Records.find(request);
+  return it == Records.end() ? 0
+                             : static_cast<unsigned>(it->second.Crashes.size());
 }
 
 double CrashTracker::chanceOf(RequestDigest request, TimePoint now) const {
-  auto it = Rows.find(request);
-  return it == Rows.end() ? 1 : chanceOf(it->second, now);
+  auto it = Records.find(request);
+  return it == Records.end() ? 1 : chanceOf(it->second, now);
 }
 
 bool CrashTracker::runsElsewhere(RequestDigest request, TimePoint now) const {
   return std::any_of(Peers.begin(), Peers.end(), [&](const auto &peer) {
-    const std::vector<SuspectRun> &runs = peer.second.Runs;
+    const std::vector<SuspectAttempt> &runs = peer.second.SuspectAttempts;
     return now - peer.second.At < Limits.PeerAttemptMaxAge &&
-           std::any_of(runs.begin(), runs.end(), [&](const SuspectRun &it) {
+           std::any_of(runs.begin(), runs.end(), [&](const SuspectAttempt &it) {
              return it.Request == request;
            });
   });
 }
 
-std::set<LifeDigest> CrashTracker::livesOfOthers(RequestDigest request,
-                                                 TimePoint now) const {
-  std::set<LifeDigest> out;
+std::set<IncarnationDigest>
+CrashTracker::incarnationsOfOthers(RequestDigest request, TimePoint now) const {
+  std::set<IncarnationDigest> out;
   for (const auto &[name, peer] : Peers) {
     if (now - peer.At >= Limits.PeerAttemptMaxAge)
       continue;
-    for (const SuspectRun &it : peer.Runs)
+    for (const SuspectAttempt &it : peer.SuspectAttempts)
       if (it.Request != request)
-        out.insert(it.Life);
+        out.insert(it.Incarnation);
   }
   return out;
 }
 
-std::optional<TimePoint> CrashTracker::endOf(LifeDigest incarnation) const {
+std::optional<TimePoint>
+CrashTracker::crashTimeOf(IncarnationDigest incarnation) const {
   auto it = Incarnations.find(incarnation);
   return it == Incarnations.end() ? std::nullopt : std::optional(it->second.At);
 }
 
 std::vector<RequestDigest> CrashTracker::quarantined() const {
   std::vector<std::pair<TimePoint, RequestDigest>> found;
-  for (const auto &[request, row] : Rows)
-    if (row.QuarantinedAt)
-      found.emplace_back(row.SeenAt, request);
+  for (const auto &[request, record] : Records)
+    if (record.QuarantinedAt)
+      found.emplace_back(record.SeenAt, request);
   std::sort(found.rbegin(), found.rend());
   std::vector<RequestDigest> out;
   out.reserve(found.size());
@@ -249,52 +252,53 @@
 
 std::vector<RequestDigest> CrashTracker::cleared() const {
   std::vector<RequestDigest> out;
-  for (const auto &[request, row] : Rows)
-    if (row.ClearedAt && !row.QuarantinedAt)
+  for (const auto &[request, record] : Records)
+    if (record.ClearedAt && !record.QuarantinedAt)
       out.push_back(request);
   return out;
 }
 
-CrashTracker::Row &CrashTracker::rowOf(RequestDigest request, TimePoint now) {
-  auto it = Rows.find(request);
-  if (it != Rows.end())
+CrashTracker::Record &CrashTracker::recordOf(RequestDigest request,
+                                             TimePoint now) {
+  auto it = Records.find(request);
+  if (it != Records.end())
     return it->second;
   evictIfFull(now);
-  return Rows[request];
+  return Records[request];
 }
 
 /// Callers choose the request bodies, so any number of distinct requests may be
 /// running at a crash. Evicts the request with the least evidence against it,
 /// among equals the one that was received longest ago.
 void CrashTracker::evictIfFull(TimePoint now) {
-  if (Rows.size() < Limits.MaxRows)
+  if (Records.size() < Limits.MaxRecords)
     return;
   expire(now);
-  if (Rows.size() < Limits.MaxRows)
+  if (Records.size() < Limits.MaxRecords)
     return;
   auto rank = [](const auto &it) {
-    const Row &row = it.second;
-    return std::tuple(row.QuarantinedAt.has_value(), row.Crashes.size(),
-                      row.SeenAt);
+    const Record &record = it.second;
+    return std::tuple(record.QuarantinedAt.has_value(), record.Crashes.size(),
+                      record.SeenAt);
   };
-  Rows.erase(std::min_element(
-      Rows.begin(), Rows.end(),
+  Records.erase(std::min_element(
+      Records.begin(), Records.end(),
       [&](const auto &a, const auto &b) { return rank(a) < rank(b); }));
 }
 
 /// Returns whether \p crash was new and has been added.
-bool CrashTracker::addCrash(Row &row, const Crash &crash) {
-  bool isOver = row.ClearedAt && crash.At <= *row.ClearedAt;
-  bool isKnown =
-      std::any_of(row.Crashes.begin(), row.Crashes.end(),
-                  [&](const Crash &it) { return it.Life == crash.Life; });
-  if (isOver || isKnown || row.Crashes.size() >= Limits.QuarantineCrashes)
+bool CrashTracker::addCrash(Record &record, const Crash &crash) {
+  bool isOver = record.ClearedAt && crash.At <= *record.ClearedAt;
+  bool isKnown = std::any_of(
+      record.Crashes.begin(), record.Crashes.end(),
+      [&](const Crash &it) { return it.Incarnation == crash.Incarnation; });
+  if (isOver || isKnown || record.Crashes.size() >= Limits.QuarantineCrashes)
     return false;
-  row.Crashes.push_back(crash);
+  record.Crashes.push_back(crash);
   return true;
 }
 
-void CrashTracker::addIncarnation(LifeDigest incarnation, TimePoint at) {
+void CrashTracker::addIncarnation(IncarnationDigest incarnation, TimePoint at) {
   auto [it, isNew] =
       Incarnations.try_emplace(incarnation, CrashedIncarnation{at});
   it->second.At = std::min(it->second.At, at);
@@ -311,11 +315,11 @@
   Incarnations.erase(oldest);
 }
 
-std::vector<RequestDigest> CrashTracker::judge(TimePoint now) {
+std::vector<RequestDigest> CrashTracker::updateVerdicts(TimePoint now) {
   return updateDueVerdicts(now, now);
 }
 
-std::vector<RequestDigest> CrashTracker::judgeAll(TimePoint now) {
+std::vector<RequestDigest> CrashTracker::updateAllVerdicts(TimePoint now) {
   return updateDueVerdicts(std::nullopt, now);
 }
 
@@ -326,20 +330,20 @@
   // Requests with the most crashes come first, as crashes that one of them
   // explains are no evidence against the others.
   std::vector<std::pair<std::size_t, RequestDigest>> open;
-  for (auto &[request, row] : Rows) {
-    if (!row.VerdictAt || (due && *due < *row.VerdictAt))
+  for (auto &[request, record] : Records) {
+    if (!record.VerdictAt || (due && *due < *record.VerdictAt))
       continue;
-    row.VerdictAt.reset();
-    open.emplace_back(row.Crashes.size(), request);
+    record.VerdictAt.reset();
+    open.emplace_back(record.Crashes.size(), request);
   }
   std::sort(open.rbegin(), open.rend());
   std::vector<RequestDigest> out;
   for (const auto &[n, request] : open) {
-    auto it = Rows.find(request);
-    if (it == Rows.end() || !hasEnoughEvidence(request, it->second, now))
+    auto it = Records.find(request);
+    if (it == Records.end() || !hasEnoughEvidence(request, it->second, now))
       continue;
     it->second.QuarantinedAt = now;
-    it->second.RemainingAnnouncements = Limits.Tellings;
+    it->second.RemainingAnnouncements = Limits.Announcements;
     ++Changes;
     attributeCrashes(request, it->second);
     out.push_back(request);
@@ -347,116 +351,120 @@
   return out;
 }
 
-bool CrashTracker::hasEnoughEvidence(RequestDigest request, const Row &row,
+bool CrashTracker::hasEnoughEvidence(RequestDigest request,
+                                     const Record &record,
                                      TimePoint now) const {
-  std::size_t n = row.Crashes.size();
-  if (row.QuarantinedAt || n < 2)
+  std::size_t n = record.Crashes.size();
+  if (record.QuarantinedAt || n < 2)
     return false;
   return n >= Limits.QuarantineCrashes ||
-         (!hasCoincidentRequest(request, row) &&
-          chanceOf(row, now) <= Limits.Chance);
+         (!hasCoincidentRequest(request, record) &&
+          chanceOf(record, now) <= Limits.Chance);
 }
 
-bool CrashTracker::isSettling(RequestDigest request) const {
-  auto it = Rows.find(request);
-  return it != Rows.end() && it->second.VerdictAt;
+bool CrashTracker::isVerdictPending(RequestDigest request) const {
+  auto it = Records.find(request);
+  return it != Records.end() && it->second.VerdictAt;
 }
 
-std::optional<TimePoint> CrashTracker::nextJudgement() const {
+std::optional<TimePoint> CrashTracker::nextVerdictAt() const {
   std::optional<TimePoint> next;
-  for (const auto &[request, row] : Rows)
-    if (row.VerdictAt && (!next || *row.VerdictAt < *next))
-      next = row.VerdictAt;
+  for (const auto &[request, record] : Records)
+    if (record.VerdictAt && (!next || *record.VerdictAt < *next))
+      next = record.VerdictAt;
   return next;
 }
 
-/// Marks the crashes of \p row as caused by \p request and removes them from
+/// Marks the crashes of \p record as caused by \p request and removes them from
 /// all other requests that are not quarantined.
-void CrashTracker::attributeCrashes(RequestDigest request, const Row &row) {
-  std::vector<LifeDigest> crashed;
-  for (const Crash &it : row.Crashes) {
-    crashed.push_back(it.Life);
-    if (auto incarnation = Incarnations.find(it.Life);
+void CrashTracker::attributeCrashes(RequestDigest request,
+                                    const Record &record) {
+  std::vector<IncarnationDigest> crashed;
+  for (const Crash &it : record.Crashes) {
+    crashed.push_back(it.Incarnation);
+    if (auto incarnation = Incarnations.find(it.Incarnation);
         incarnation != Incarnations.end())
       incarnation->second.IsExplained = true;
   }
-  for (auto it = Rows.begin(); it != Rows.end();) {
-    Row &other = it->second;
+  for (auto it = Records.begin(); it != Records.end();) {
+    Record &other = it->second;
     bool isOther = it->first != request && !other.QuarantinedAt;
     auto n =
         !isOther ? 0 : std::erase_if(other.Crashes, [&](const Crash &crash) {
-          return std::find(crashed.begin(), crashed.end(), crash.Life) !=
+          return std::find(crashed.begin(), crashed.end(), crash.Incarnation) !=
                  crashed.end();
         });
     bool isDone = n > 0 && other.Crashes.empty() && !other.ClearedAt;
-    it = isDone ? Rows.erase(it) : std::next(it);
+    it = isDone ? Records.erase(it) : std::next(it);
   }
 }
 
-/// Whether another request was running at all crashes of \p row. Only a
+/// Whether another request was running at all crashes of \p record. Only a
 /// crash while one of the two runs alone shows which one causes crashes.
 bool CrashTracker::hasCoincidentRequest(RequestDigest request,
-                                        const Row &row) const {
-  auto wasAt = [](const Row &other, LifeDigest incarnation) {
-    return std::any_of(other.Crashes.begin(), other.Crashes.end(),
-                       [&](const Crash &it) { return it.Life == incarnation; });
+                                        const Record &record) const {
+  auto wasAt = [](const Record &other, IncarnationDigest incarnation) {
+    return std::any_of(
+        other.Crashes.begin(), other.Crashes.end(),
+        [&](const Crash &it) { return it.Incarnation == incarnation; });
   };
-  return std::any_of(Rows.begin(), Rows.end(), [&](const auto &it) {
+  return std::any_of(Records.begin(), Records.end(), [&](const auto &it) {
     return it.first != request && !it.second.QuarantinedAt &&
-           std::all_of(
-               row.Crashes.begin(), row.Crashes.end(),
-               [&](const Crash &end) { return wasAt(it.second, end.Life); });
+           std::all_of(record.Crashes.begin(), record.Crashes.end(),
+                       [&](const Crash &end) {
+                         return wasAt(it.second, end.Incarnation);
+                       });
   });
 }
 
-/// The product, over the crashes of \p row, of the probability that an endpoint
-/// crashes for another reason during such an attempt. The crash rate is taken
-/// from the unexplained crashes of other incarnations around each crash, so
-/// that a request doesn't raise the rate by which it is judged.
-double CrashTracker::chanceOf(const Row &row, TimePoint now) const {
+/// The product, over the crashes of \p record, of the probability that an
+/// endpoint crashes for another reason during such an attempt. The crash rate
+/// is taken from the unexplained crashes of other incarnations around each
+/// crash, so that a request doesn't raise the rate by which it is judged.
+double CrashTracker::chanceOf(const Record &record, TimePoint now) const {
   using Seconds = std::chrono::duration<double>;
   double chance = 1;
-  for (const Crash &crash : row.Crashes) {
+  for (const Crash &crash : record.Crashes) {
     TimePoint from = crash.At - Limits.RateWindow;
     TimePoint until = std::min(crash.At + Limits.RateWindow, now);
     auto others = std::count_if(
         Incarnations.begin(), Incarnations.end(), [&](const auto &it) {
           bool isOwn = std::any_of(
-              row.Crashes.begin(), row.Crashes.end(),
-              [&](const Crash &own) { return own.Life == it.first; });
+              record.Crashes.begin(), record.Crashes.end(),
+              [&](const Crash &own) { return own.Incarnation == it.first; });
           return !isOwn && !it.second.IsExplained && it.second.At >= from &&
                  it.second.At <= until;
         });
     double span = Seconds(until - from).count();
     double rate =
-        (double(others) + AssumedCrashes) / (double(row.Endpoints) * span);
+        (double(others) + AssumedCrashes) / (double(record.Endpoints) * span);
     double ran = Seconds(std::max(crash.Ran, Limits.MinAttemptTime)).count();
     chance *= std::min(1.0, rate * ran);
   }
   return chance;
 }
 
-void CrashTracker::clear(Row &row, TimePoint at) {
-  row.ClearedAt = at;
-  row.VerdictAt.reset();
-  std::erase_if(row.Crashes, [at](const Crash &it) { return it.At <= at; });
-  if (!row.QuarantinedAt || *row.QuarantinedAt > at)
+void CrashTracker::clear(Record &record, TimePoint at) {
+  record.ClearedAt = at;
+  record.VerdictAt.reset();
+  std::erase_if(record.Crashes, [at](const Crash &it) { return it.At <= at; });
+  if (!record.QuarantinedAt || *record.QuarantinedAt > at)
     return;
-  row.QuarantinedAt.reset();
+  record.QuarantinedAt.reset();
   ++Changes;
 }
 
 void CrashTracker::expire(TimePoint now) {
-  std::erase_if(Rows, [&](const auto &it) {
-    const Row &row = it.second;
-    bool isOnlyCleared = row.Crashes.empty() && !row.QuarantinedAt;
-    TimePoint cleared = row.ClearedAt.value_or(TimePoint());
-    bool isOver = now - row.SeenAt >= Limits.KeepRows ||
+  std::erase_if(Records, [&](const auto &it) {
+    const Record &record = it.second;
+    bool isOnlyCleared = record.Crashes.empty() && !record.QuarantinedAt;
+    TimePoint cleared = record.ClearedAt.value_or(TimePoint());
+    bool isOver = now - record.SeenAt >= Limits.KeepRecords ||
                   (isOnlyCleared && now - cleared >= Limits.KeepCleared);
-    Changes += isOver && row.QuarantinedAt ? 1 : 0;
+    Changes += isOver && record.QuarantinedAt ? 1 : 0;
     return isOver;
   });
   std::erase_if(Incarnations, [&](const auto &it) {
-    return now - it.second.At >= Limits.KeepRows;
+    return now - it.second.At >= Limits.KeepRecords;
   });
 }
--- a/lib/Quarantine/QuarantineStore.cpp
+++ b/lib/Quarantine/QuarantineStore.cpp
@@ -26,7 +26,7 @@
   std::vector<RequestDigest> out;
   std::istringstream is(text);
   for (std::string word; out.size() < QuarantineStore::MaxStored && is >> word;)
-    if (RequestDigest it = requestDigestOf(word); it != RequestDigest())
+    if (RequestDigest it = parseRequestDigest(word); it != RequestDigest())
       out.push_back(it);
   return out;
 }
@@ -36,9 +36,9 @@
   return std::find(requests.begin(), requests.end(), request) != requests.end();
 }
 
-void QuarantineStore::setOwn(std::vector<RequestDigest> quarantined,
-                             const std::vector<RequestDigest> &cleared,
-                             TimePoint now) {
+void QuarantineStore::setLocalQuarantine(
+    std::vector<RequestDigest> quarantined,
+    const std::vector<RequestDigest> &cleared, TimePoint now) {
   Own = std::move(quarantined);
   if (Own.size() > MaxStored)
     Own.resize(MaxStored);
--- a/lib/Routing/AgentNode.cpp
+++ b/lib/Routing/AgentNode.cpp
@@ -241,7 +241,7 @@
 }
 
 void AgentNode::updateLeaving(TimePoint now) {
-  bool leaving = IsListedLeaving || saidLeaving();
+  bool leaving = IsListedLeaving || hasAnnouncedLeaving();
   if (leaving == IsLeaving)
     return;
   IsLeaving = leaving;
@@ -293,7 +293,7 @@
   if (Queue.size() == 0)
     return next;
   for (std::optional<TimePoint> it :
-       {Rates.nextRoom(LastInput), Closed.nextEnd(LastInput)})
+       {Rates.nextCapacityAt(LastInput), Excluded.nextBackoffEnd(LastInput)})
     if (it && *it < *next)
       next = it;
   return next;
--- a/lib/Routing/AgentPushback.cpp
+++ b/lib/Routing/AgentPushback.cpp
@@ -18,14 +18,14 @@
   auto it = Jobs.find(id);
   if (it == Jobs.end() || !it->second.Started)
     return takeActions();
-  LifeDigest incarnation(it->second.EndpointIncarnation.get());
+  IncarnationDigest incarnation(it->second.EndpointIncarnation.get());
   if (pushback.RequestsPerSecond || pushback.Malformed.empty())
-    Rates.onAnswer(incarnation, pushback.RequestsPerSecond, *it->second.Started,
-                   now);
-  if (pushback.Rest)
-    Closed.onRest(incarnation, *pushback.Rest, now);
+    Rates.onResponse(incarnation, pushback.RequestsPerSecond,
+                     *it->second.Started, now);
+  if (pushback.Backoff)
+    Excluded.onBackoff(incarnation, *pushback.Backoff, now);
   if (pushback.IsLeaving)
-    Closed.onLeaving(incarnation, false, now);
+    Excluded.onLeaving(incarnation, false, now);
   updateLeaving(now);
   if (remainingBackoff() > Limits.MaxWait)
     for (const QueuedRequest &queued : Queue.drain())
@@ -34,28 +34,28 @@
   return takeActions();
 }
 
-AgentActions AgentNode::onEndpointEnded(TimePoint now) {
+AgentActions AgentNode::onEndpointExited(TimePoint now) {
   detectPause(now);
-  EndpointIncarnation = EngineLife(EndpointIncarnation.get() + 1);
+  EndpointIncarnation = EngineIncarnation(EndpointIncarnation.get() + 1);
   updateLeaving(now);
   startQueued(now);
   return takeActions();
 }
 
 Duration AgentNode::remainingBackoff() const {
-  TimePoint end = Closed.restUntil(currentIncarnation());
+  TimePoint end = Excluded.backoffUntil(currentIncarnation());
   return std::max(end - LastInput, Duration::zero());
 }
 
 /// Returns how long a new request would wait under the advertised rate limit.
 Duration AgentNode::rateLimitWait() const {
-  LifeDigest incarnation = currentIncarnation();
+  IncarnationDigest incarnation = currentIncarnation();
   if (!Rates.isLimited(incarnation))
     return Duration::zero();
   double rate =
-      std::max(Rates.namedRate(incarnation), RateLimits::MinPerSecond);
+      std::max(Rates.advertisedRate(incarnation), RateLimits::MinPerSecond);
   auto ahead = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(double(Queue.size()) / rate));
-  std::optional<TimePoint> next = Rates.nextRoom(LastInput);
+  std::optional<TimePoint> next = Rates.nextCapacityAt(LastInput);
   return ahead + (next ? *next - LastInput : Duration::zero());
 }
--- a/lib/Routing/AgentRuns.cpp
+++ b/lib/Routing/AgentRuns.cpp
@@ -62,7 +62,7 @@
 
 void AgentNode::startQueued(TimePoint now) {
   while (Running.size() < Limits.Slots && Queue.size() > 0 &&
-         !Closed.isResting(currentIncarnation(), now) &&
+         !Excluded.isInBackoff(currentIncarnation(), now) &&
          Rates.take(currentIncarnation(), now)) {
     std::optional<QueuedRequest> next = Queue.pop();
     Job &job = Jobs.at(next->Id);
@@ -126,7 +126,7 @@
 
 void AgentNode::endRun(RequestId id, ResultCode code, TimePoint now) {
   auto it = Jobs.find(id);
-  EngineLife incarnation = it->second.EndpointIncarnation;
+  EngineIncarnation incarnation = it->second.EndpointIncarnation;
   Drain.record(now - *it->second.Started);
   if (code == ResultCode::EndpointFailed) {
     DownUntil = now + DownPause;
@@ -148,10 +148,11 @@
 /// ends all runs that it started. A leaving endpoint is stopped on purpose, so
 /// its exit is not attributed to its requests. Returns the code to report for
 /// the run.
-ResultCode AgentNode::recordEngineExit(EngineLife incarnation, TimePoint now) {
+ResultCode AgentNode::recordEngineExit(EngineIncarnation incarnation,
+                                       TimePoint now) {
   bool wasLeaving = IsLeaving;
   if (incarnation == EndpointIncarnation)
-    EndpointIncarnation = EngineLife(incarnation.get() + 1);
+    EndpointIncarnation = EngineIncarnation(incarnation.get() + 1);
   updateLeaving(now);
   return wasLeaving ? ResultCode::AnswerBroken : ResultCode::EndpointFailed;
 }
--- a/lib/Routing/EntryClaims.cpp
+++ b/lib/Routing/EntryClaims.cpp
@@ -136,5 +136,5 @@
   CallsByKv.erase(call.PendingKv);
   call.PendingKv = KvCallId(++LastKvCall);
   CallsByKv[call.PendingKv] = call.Request.Id;
-  Out.push_back(CallPlatform{{call.PendingKv, std::move(body)}});
+  Out.push_back(CallKeyValueStore{{call.PendingKv, std::move(body)}});
 }
--- a/lib/Routing/EntryCrashes.cpp
+++ b/lib/Routing/EntryCrashes.cpp
@@ -20,10 +20,11 @@
 static constexpr std::size_t MaxReportedRuns = 64;
 
 /// Returns a digest that identifies an endpoint's incarnation at all entries.
-static LifeDigest incarnationOf(const EndpointId &endpoint, const Finish &msg) {
-  return digestLife(EndpointId(endpoint.get() + '/' +
-                               std::to_string(msg.Id.Issuer.get()) + '/' +
-                               std::to_string(msg.Life.get())));
+static IncarnationDigest incarnationOf(const EndpointId &endpoint,
+                                       const Finish &msg) {
+  return digestIncarnation(
+      EndpointId(endpoint.get() + '/' + std::to_string(msg.Id.Issuer.get()) +
+                 '/' + std::to_string(msg.Incarnation.get())));
 }
 
 void EntryNode::noteCrash(const Call &call, const Finish &msg, TimePoint now) {
@@ -33,10 +34,10 @@
   Duration ran = now - call.SentAt;
   Crashes.onCrash(request, incarnationOf(endpoint, msg), ran,
                   service ? service->Endpoints.size() : 1, now);
-  CrashNotes.push_back({request, std::to_string(call.Request.Id.get()),
-                        endpoint, ran, Crashes.crashesOf(request),
-                        Crashes.chanceOf(request, now),
-                        Crashes.standingOf(request), false});
+  CrashLogRecords.push_back({request, std::to_string(call.Request.Id.get()),
+                             endpoint, ran, Crashes.crashesOf(request),
+                             Crashes.chanceOf(request, now),
+                             Crashes.verdictOf(request), false});
   Reporter.onChange(now);
   judgeCrashes(now);
 }
@@ -46,7 +47,7 @@
 void EntryNode::judgeCrashes(TimePoint now) {
   bool isAlone = Reporter.entryCount(now) == 1;
   for (RequestDigest it :
-       isAlone ? Crashes.judgeAll(now) : Crashes.judge(now)) {
+       isAlone ? Crashes.updateAllVerdicts(now) : Crashes.updateVerdicts(now)) {
     quarantine(it, false, now);
     Reporter.onChange(now);
   }
@@ -54,9 +55,9 @@
 
 void EntryNode::quarantine(RequestDigest request, bool isFromPeer,
                            TimePoint now) {
-  CrashNotes.push_back(
+  CrashLogRecords.push_back(
       {request, "", EndpointId(), Duration(), Crashes.crashesOf(request),
-       Crashes.chanceOf(request, now), CrashStanding::Quarantined, isFromPeer});
+       Crashes.chanceOf(request, now), CrashVerdict::Quarantined, isFromPeer});
   endQuarantined(request);
 }
 
@@ -87,17 +88,17 @@
                              TimePoint now) {
   Crashes.restore(requests, now);
   for (RequestDigest it : requests)
-    if (Crashes.standingOf(it) == CrashStanding::Quarantined)
+    if (Crashes.verdictOf(it) == CrashVerdict::Quarantined)
       endQuarantined(it);
   return takeActions();
 }
 
 bool EntryNode::isSuspect(const Call &call) const {
-  return Crashes.standingOf(call.Request.Digest) == CrashStanding::Suspect;
+  return Crashes.verdictOf(call.Request.Digest) == CrashVerdict::Suspect;
 }
 
 bool EntryNode::isQuarantined(const Call &call) const {
-  return Crashes.standingOf(call.Request.Digest) == CrashStanding::Quarantined;
+  return Crashes.verdictOf(call.Request.Digest) == CrashVerdict::Quarantined;
 }
 
 /// Whether the call must wait for another run of the same suspect request.
@@ -115,7 +116,7 @@
     return isInFlight && it.first != call.Request.Id &&
            other.Request.Digest == request;
   });
-  if (runsHere || Crashes.isSettling(request) ||
+  if (runsHere || Crashes.isVerdictPending(request) ||
       Crashes.runsElsewhere(request, now)) {
     call.NotBefore.reset();
     return true;
@@ -155,21 +156,22 @@
 
 /// Returns the endpoints that run other suspect requests. If such an endpoint
 /// crashed with both requests, the crash could not be attributed.
-std::set<LifeDigest> EntryNode::endpointsOfSuspects(const Call &call,
-                                                    TimePoint now) const {
+std::set<IncarnationDigest>
+EntryNode::endpointsOfSuspects(const Call &call, TimePoint now) const {
   if (!isSuspect(call))
     return {};
-  std::set<LifeDigest> out = Crashes.livesOfOthers(call.Request.Digest, now);
-  for (const SuspectRun &it : suspectRuns())
+  std::set<IncarnationDigest> out =
+      Crashes.incarnationsOfOthers(call.Request.Digest, now);
+  for (const SuspectAttempt &it : suspectRuns())
     if (it.Request != call.Request.Digest)
-      out.insert(it.Life);
+      out.insert(it.Incarnation);
   return out;
 }
 
 /// Returns the dispatched suspect requests. Only an agent knows its endpoint's
 /// current incarnation, so the digest of the endpoint's id replaces it here.
-std::vector<SuspectRun> EntryNode::suspectRuns() const {
-  std::vector<SuspectRun> out;
+std::vector<SuspectAttempt> EntryNode::suspectRuns() const {
+  std::vector<SuspectAttempt> out;
   if (Crashes.isEmpty())
     return out;
   for (const auto &[id, call] : Calls) {
@@ -177,7 +179,8 @@
                       call.Stage == CallStage::Accepted ||
                       call.Stage == CallStage::Resolving;
     if (isInFlight && isSuspect(call) && out.size() < MaxReportedRuns)
-      out.push_back({call.Request.Digest, digestLife(call.Permit->Endpoint)});
+      out.push_back(
+          {call.Request.Digest, digestIncarnation(call.Permit->Endpoint)});
   }
   return out;
 }
@@ -185,15 +188,15 @@
 void EntryNode::sendReports(TimePoint now) {
   for (const EndpointId &relay : Reporter.takeSubscriptions(now)) {
     send(relay, CrashUpdate{Name, 0, {}});
-    for (CrashReport &it : Crashes.allRows(now))
+    for (CrashReport &it : Crashes.allRecords(now))
       send(relay, CrashUpdate{Name, 0, std::move(it)});
   }
   for (const EndpointId &relay : Reporter.takeHeartbeats(now))
     send(relay, CrashUpdate{Name, 0, {}});
-  std::vector<SuspectRun> runs = suspectRuns();
+  std::vector<SuspectAttempt> runs = suspectRuns();
   if (!Reporter.takeReport(!runs.empty(), now))
     return;
-  CrashReport report{Crashes.takeRows(Reporter.entryCount(now), now),
+  CrashReport report{Crashes.takeRecords(Reporter.entryCount(now), now),
                      std::move(runs)};
   for (const EndpointId &relay : Reporter.relays())
     send(relay, CrashUpdate{Name, 0, report});
--- a/lib/Routing/EntryMessages.cpp
+++ b/lib/Routing/EntryMessages.cpp
@@ -87,7 +87,7 @@
   if (call->HasHead)
     return;
   call->HasHead = true;
-  Out.push_back(AnswerHead{call->Request.Id, msg.Status, msg.ContentType});
+  Out.push_back(ResponseHead{call->Request.Id, msg.Status, msg.ContentType});
   forwardResponse(*call, now);
 }
 
@@ -111,7 +111,8 @@
   if (!call.HasHead)
     return;
   if (!call.Unsent.empty())
-    Out.push_back(AnswerData{call.Request.Id, std::exchange(call.Unsent, {})});
+    Out.push_back(
+        ResponseData{call.Request.Id, std::exchange(call.Unsent, {})});
   if (call.Response.isComplete())
     finishComplete(call, now);
 }
--- a/lib/Routing/EntryNode.cpp
+++ b/lib/Routing/EntryNode.cpp
@@ -43,7 +43,7 @@
   call.Request.Digest = digestRequest(
       DigestKey, {stored.Method, stored.Service.get(), stored.Target,
                   stored.Workspace.get(), stored.Body});
-  Crashes.onSeen(call.Request.Digest, now);
+  Crashes.onReceived(call.Request.Digest, now);
   if (isQuarantined(call)) {
     finishWith(call, ResultCode::RequestQuarantined);
     return takeActions();
@@ -76,7 +76,7 @@
   call.ProbesOut = 0;
   const ServiceView *service = findService(call);
   std::vector<EndpointId> candidates;
-  std::set<LifeDigest> suspectEndpoints = endpointsOfSuspects(call, now);
+  std::set<IncarnationDigest> suspectEndpoints = endpointsOfSuspects(call, now);
   if (service) {
     auto isExcluded = [&](const EndpointId &id) {
       auto unresponsive = UnresponsiveUntil.find(id);
@@ -86,7 +86,7 @@
       return isUnresponsive || KnownLeaving.contains(id) ||
              call.Tried.contains(id) ||
              (!suspectEndpoints.empty() &&
-              suspectEndpoints.contains(digestLife(id)));
+              suspectEndpoints.contains(digestIncarnation(id)));
     };
     candidates = Picker.pickCandidates(*service, call.Request.Prefix,
                                        isExcluded, Random);
@@ -149,7 +149,7 @@
   const ProbeOffer offer = call.Offers[*best];
   call.Tried.insert(offer.Endpoint);
   if (call.Request.WantsTicket) {
-    Out.push_back(AnswerTicket{call.Request.Id, offer.Reply.Permit});
+    Out.push_back(ReturnTicket{call.Request.Id, offer.Reply.Permit});
     erase(call);
     return;
   }
@@ -186,7 +186,7 @@
   order.Deadline =
       std::max(Duration::zero(), call.Deadline - now - Limits.DeadlineMargin);
   order.Priority = call.Request.Priority;
-  order.Repeatable = call.Request.IsRepeatable;
+  order.Repeatable = call.Request.IsRetryable;
   order.Method = call.Request.Method;
   order.Target = call.Request.Target;
   order.ContentType = call.Request.ContentType;
@@ -205,7 +205,7 @@
 /// Whether the call may run at another endpoint although its current dispatch
 /// may have run.
 bool EntryNode::mayRunElsewhere(const Call &call) const {
-  if (!call.Request.IsRepeatable || call.Request.CallerTicket ||
+  if (!call.Request.IsRetryable || call.Request.CallerTicket ||
       call.Request.IdempotencyKey)
     return false;
   // A response that has begun can move to another endpoint only if it can be
@@ -356,7 +356,7 @@
     if (due && (!next || *due < *next))
       next = due;
   };
-  include(Crashes.nextJudgement());
+  include(Crashes.nextVerdictAt());
   if (!Timers.empty())
     include(Timers.begin()->first);
   return next;
@@ -394,17 +394,17 @@
 
 void EntryNode::finishComplete(Call &call, TimePoint now) {
   if (isSuspect(call) || isQuarantined(call)) {
-    Crashes.onWhole(call.Request.Digest, now);
+    Crashes.onCompleteResponse(call.Request.Digest, now);
     Reporter.onChange(now);
   }
-  Out.push_back(AnswerEnd{call.Request.Id});
+  Out.push_back(ResponseEnd{call.Request.Id});
   erase(call);
 }
 
 void EntryNode::finishWith(Call &call, ResultCode code) {
   if (call.MayHaveRun && describe(code).Kind == Outcome::NotRun)
     code = ResultCode::ContactLost;
-  Out.push_back(AnswerError{call.Request.Id, code, call.RetryAfter});
+  Out.push_back(ResponseError{call.Request.Id, code, call.RetryAfter});
   erase(call);
 }
 
--- a/lib/Rpc/Codec.cpp
+++ b/lib/Rpc/Codec.cpp
@@ -179,12 +179,12 @@
   out->set_attempt(in.Attempt.get());
   out->set_length(in.Length);
   out->set_code(putCode(in.Code));
-  out->set_life(in.Life.get());
+  out->set_life(in.Incarnation.get());
 }
 
 static Finish get(const wire::Finish &in) {
   return {get(in.id()), AttemptNumber(in.attempt()), in.length(),
-          getCode(in.code()), EngineLife(in.life())};
+          getCode(in.code()), EngineIncarnation(in.life())};
 }
 
 static void put(const ResolveReply &in, wire::Message &message) {
@@ -340,7 +340,7 @@
   std::visit([&out](const auto &it) { put(it, out); }, message);
 }
 
-std::size_t ospreyspur::sizeOf(const Message &message) {
+std::size_t ospreyspur::encodedSize(const Message &message) {
   wire::Message out;
   encode(message, out);
   return out.ByteSizeLong();
--- a/lib/Rpc/CrashCodec.cpp
+++ b/lib/Rpc/CrashCodec.cpp
@@ -13,7 +13,7 @@
 using namespace ospreyspur;
 
 /// Bounds on the records read from one report; no entry sends more.
-static constexpr int MaxRows = 64;
+static constexpr int MaxRecords = 64;
 static constexpr int MaxCrashes = 8;
 /// Ages are capped here; no record is kept for that long.
 static constexpr std::uint64_t MaxAgeUs = 86400ULL * 1000000;
@@ -26,24 +26,24 @@
   return Duration(std::min(us, MaxAgeUs));
 }
 
-static void encodeRow(const CrashRow &row, wire::CrashRow &out) {
-  out.set_request(row.Request.get());
-  out.set_endpoints(static_cast<std::uint32_t>(row.Endpoints));
-  out.set_seen_age_us(toWire(row.SeenAge));
-  if (row.ClearedAge)
-    out.set_cleared_age_us(toWire(*row.ClearedAge));
-  if (row.QuarantinedAge)
-    out.set_quarantined_age_us(toWire(*row.QuarantinedAge));
-  for (const CrashTold &it : row.Crashes) {
+static void encodeRecord(const CrashRecord &record, wire::CrashRow &out) {
+  out.set_request(record.Request.get());
+  out.set_endpoints(static_cast<std::uint32_t>(record.Endpoints));
+  out.set_seen_age_us(toWire(record.SeenAge));
+  if (record.ClearedAge)
+    out.set_cleared_age_us(toWire(*record.ClearedAge));
+  if (record.QuarantinedAge)
+    out.set_quarantined_age_us(toWire(*record.QuarantinedAge));
+  for (const ReportedCrash &it : record.Crashes) {
     wire::Crash *crash = out.add_crashes();
-    crash->set_life(it.Life.get());
+    crash->set_life(it.Incarnation.get());
     crash->set_age_us(toWire(it.Age));
     crash->set_ran_us(toWire(it.Ran));
   }
 }
 
-static CrashRow decodeRow(const wire::CrashRow &in) {
-  CrashRow out;
+static CrashRecord decodeRecord(const wire::CrashRow &in) {
+  CrashRecord out;
   out.Request = RequestDigest(in.request());
   out.Endpoints = in.endpoints();
   out.SeenAge = fromWire(in.seen_age_us());
@@ -52,7 +52,7 @@
   if (in.has_quarantined_age_us())
     out.QuarantinedAge = fromWire(in.quarantined_age_us());
   for (int i = 0; i < std::min(in.crashes_size(), MaxCrashes); ++i)
-    out.Crashes.push_back({LifeDigest(in.crashes(i).life()),
+    out.Crashes.push_back({IncarnationDigest(in.crashes(i).life()),
                            fromWire(in.crashes(i).age_us()),
                            fromWire(in.crashes(i).ran_us())});
   return out;
@@ -60,22 +60,23 @@
 
 template <typename Wire>
 static void encode(const CrashReport &report, Wire &out) {
-  for (const CrashRow &it : report.Rows)
-    encodeRow(it, *out.add_crashes());
-  for (const SuspectRun &it : report.Runs) {
+  for (const CrashRecord &it : report.Records)
+    encodeRecord(it, *out.add_crashes());
+  for (const SuspectAttempt &it : report.SuspectAttempts) {
     wire::SuspectRun *run = out.add_suspect_runs();
     run->set_request(it.Request.get());
-    run->set_life(it.Life.get());
+    run->set_life(it.Incarnation.get());
   }
 }
 
 template <typename Wire> static CrashReport decode(const Wire &in) {
   CrashReport out;
-  for (int i = 0; i < std::min(in.crashes_size(), MaxRows); ++i)
-    out.Rows.push_back(decodeRow(in.crashes(i)));
-  for (int i = 0; i < std::min(in.suspect_runs_size(), MaxRows); ++i)
-    out.Runs.push_back({RequestDigest(in.suspect_runs(i).request()),
-                        LifeDigest(in.suspect_runs(i).life())});
+  for (int i = 0; i < std::min(in.crashes_size(), MaxRecords); ++i)
+    out.Records.push_back(decodeRecord(in.crashes(i)));
+  for (int i = 0; i < std::min(in.suspect_runs_size(), MaxRecords); ++i)
+    out.SuspectAttempts.push_back(
+        {RequestDigest(in.suspect_runs(i).request()),
+         IncarnationDigest(in.suspect_runs(i).life())});
   return out;
 }
 
--- a/lib/Rpc/LoadCodec.cpp
+++ b/lib/Rpc/LoadCodec.cpp
@@ -29,26 +29,27 @@
   return Duration(static_cast<Duration::rep>(std::min(microseconds, maxAge)));
 }
 
-static void encodeRate(const RateLimitRow &row, wire::RateLimit &out) {
-  out.set_life(row.Life.get());
-  if (row.PerSecond)
-    out.set_per_second(*row.PerSecond);
-  out.set_sent_age_us(encodeAge(row.SentAge));
-  out.set_heard_age_us(encodeAge(row.HeardAge));
+static void encodeRate(const RateLimitRecord &record, wire::RateLimit &out) {
+  out.set_life(record.Incarnation.get());
+  if (record.PerSecond)
+    out.set_per_second(*record.PerSecond);
+  out.set_sent_age_us(encodeAge(record.SentAge));
+  out.set_heard_age_us(encodeAge(record.ReceivedAge));
 }
 
-static std::vector<RateLimitRow> decodeRates(const wire::LoadReport &in) {
-  std::vector<RateLimitRow> out;
+static std::vector<RateLimitRecord> decodeRates(const wire::LoadReport &in) {
+  std::vector<RateLimitRecord> out;
   for (int i = 0; i < std::min(in.rates_size(), MaxRates); ++i) {
     const wire::RateLimit &it = in.rates(i);
-    RateLimitRow row{LifeDigest(it.life()), std::nullopt,
-                     decodeAge(it.sent_age_us()), decodeAge(it.heard_age_us())};
+    RateLimitRecord record{IncarnationDigest(it.life()), std::nullopt,
+                           decodeAge(it.sent_age_us()),
+                           decodeAge(it.heard_age_us())};
     if (it.has_per_second())
-      row.PerSecond = it.per_second();
-    bool isValid = !row.PerSecond ||
-                   (std::isfinite(*row.PerSecond) && *row.PerSecond >= 0);
+      record.PerSecond = it.per_second();
+    bool isValid = !record.PerSecond ||
+                   (std::isfinite(*record.PerSecond) && *record.PerSecond >= 0);
     if (isValid)
-      out.push_back(row);
+      out.push_back(record);
   }
   return out;
 }
@@ -57,18 +58,18 @@
   wire::LoadReport out;
   out.set_node(report.Node);
   for (const EndpointLoad &it : report.Loads) {
-    wire::EndpointLoad *row = out.add_loads();
-    row->set_endpoint(it.Endpoint.get());
-    row->set_running(it.Running);
-    row->set_unread(it.Unread);
-    row->set_pace(static_cast<float>(it.Pace));
+    wire::EndpointLoad *record = out.add_loads();
+    record->set_endpoint(it.Endpoint.get());
+    record->set_running(it.Running);
+    record->set_unread(it.PendingPromptTokens);
+    record->set_pace(static_cast<float>(it.Slowdown));
   }
   encodeCrashes(report.Crashes, out);
-  for (LifeDigest it : report.Replaced)
+  for (IncarnationDigest it : report.Replaced)
     out.add_replaced(it.get());
-  for (const RateLimitRow &it : report.Rates)
+  for (const RateLimitRecord &it : report.Rates)
     encodeRate(it, *out.add_rates());
-  for (LifeDigest it : report.Leaving)
+  for (IncarnationDigest it : report.Leaving)
     out.add_leaving(it.get());
   out.set_is_new(report.IsNew);
   out.set_is_idle(report.IsIdle);
--- a/lib/Rpc/MapCodec.cpp
+++ b/lib/Rpc/MapCodec.cpp
@@ -62,7 +62,7 @@
   auto *out = message.mutable_rank_report();
   out->set_group(in.Group.get());
   out->set_formation(in.Formation.get());
-  out->set_life(in.Life.get());
+  out->set_life(in.Incarnation.get());
   out->set_rank(in.Rank);
   out->set_size(in.Size);
   out->set_is_open(in.IsOpen);
@@ -76,8 +76,8 @@
   }
   if (in.Held)
     out->set_held(in.Held->get());
-  putPicks(in.Picks, *out);
-  out->set_pace(static_cast<float>(in.Pace));
+  putPicks(in.SampledCounts, *out);
+  out->set_pace(static_cast<float>(in.Slowdown));
   put(in.Placement, out->mutable_placement());
   out->set_endpoint(in.Endpoint);
 }
@@ -86,7 +86,7 @@
   RankStatus out;
   out.Group = GroupId(in.group());
   out.Formation = FormationEpoch(in.formation());
-  out.Life = RankLife(in.life());
+  out.Incarnation = RankIncarnation(in.life());
   out.Rank = in.rank();
   out.Size = in.size();
   out.IsOpen = in.is_open();
@@ -103,10 +103,10 @@
     return std::nullopt;
   // A slowdown factor that is not finite is ignored; one below 1 counts as 1.
   if (std::isfinite(in.pace()))
-    out.Pace = std::clamp(double(in.pace()), 1.0, MaxSlowdown);
+    out.Slowdown = std::clamp(double(in.pace()), 1.0, MaxSlowdown);
   for (char it : in.picks())
-    out.Picks.push_back(std::uint32_t(static_cast<unsigned char>(it))
-                        << in.picks_shift());
+    out.SampledCounts.push_back(std::uint32_t(static_cast<unsigned char>(it))
+                                << in.picks_shift());
   out.Placement = get(in.placement());
   out.Endpoint = in.endpoint();
   return out;
@@ -200,11 +200,11 @@
 /// A base of 0 stands for the map that a group is formed with. The dimensions
 /// of that map then precede the sets.
 static void putDelta(const MapDelta &in, wire::MapOrder &out) {
-  out.set_base(in.Dealt ? 0 : in.Base.get());
-  if (in.Dealt) {
-    out.add_map(in.Dealt->Ranks);
-    out.add_map(in.Dealt->Sets);
-    out.add_map(in.Dealt->Experts);
+  out.set_base(in.Initial ? 0 : in.Base.get());
+  if (in.Initial) {
+    out.add_map(in.Initial->Ranks);
+    out.add_map(in.Initial->Sets);
+    out.add_map(in.Initial->Experts);
   }
   for (const RankSet &it : in.Sets) {
     out.add_map(it.Rank);
@@ -216,8 +216,8 @@
 }
 
 /// Returns nothing if no group can have these dimensions.
-static std::optional<DealtShape> getShape(const std::uint32_t *it) {
-  DealtShape out{it[0], it[1], it[2]};
+static std::optional<InitialMapShape> getShape(const std::uint32_t *it) {
+  InitialMapShape out{it[0], it[1], it[2]};
   bool isValid = out.Ranks > 0 && out.Ranks <= MaxMapDimension &&
                  out.Sets <= MaxMapDimension &&
                  out.Experts <= MaxMapDimension &&
@@ -236,7 +236,7 @@
   const std::uint32_t *it = in.map().data();
   const std::uint32_t *end = it + in.map_size();
   if (in.base() == 0) {
-    if (end - it < ShapeSize || !(out.Dealt = getShape(it)))
+    if (end - it < ShapeSize || !(out.Initial = getShape(it)))
       return std::nullopt;
     it += ShapeSize;
   }
--- a/lib/Support/Digest.cpp
+++ b/lib/Support/Digest.cpp
@@ -75,7 +75,7 @@
   return std::string(HexDigits - text.size(), '0') + text;
 }
 
-RequestDigest ospreyspur::requestDigestOf(std::string_view text) {
+RequestDigest ospreyspur::parseRequestDigest(std::string_view text) {
   std::uint64_t n = 0;
   auto [end, ec] =
       std::from_chars(text.data(), text.data() + text.size(), n, HexBase);
--- a/test/standin/RankModel.h
+++ b/test/standin/FakeRank.h
@@ -1,12 +1,12 @@
-//===- RankModel.h - fake of a rank's handling of map changes ---*- C++ -*-===//
+//===- FakeRank.h - fake of a rank's handling of map changes ----*- C++ -*-===//
 //
 // Handles an agent's orders as a real engine does. Used by the fake engine and
 // by the tests of the group's state machines.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_TEST_RANKMODEL_H
-#define OSPREYSPUR_TEST_RANKMODEL_H
+#ifndef OSPREYSPUR_TEST_FAKERANK_H
+#define OSPREYSPUR_TEST_FAKERANK_H
 
 #include "ospreyspur/Experts/RankState.h"
 
@@ -18,11 +18,11 @@
 using namespace ospreyspur;
 
 /// The state of one rank's engine.
-class RankModel {
+class FakeRank {
 public:
   /// \p checksFences: whether the engine itself rejects orders with outdated
   /// coordinator epochs.
-  explicit RankModel(bool checksFences) : ChecksFences(checksFences) {}
+  explicit FakeRank(bool checksFences) : ChecksFences(checksFences) {}
 
   const RankState &state() const { return State; }
   const std::string &runningMap() const { return RunningMap; }
@@ -122,4 +122,4 @@
 
 } // namespace standin
 
-#endif // OSPREYSPUR_TEST_RANKMODEL_H
+#endif // OSPREYSPUR_TEST_FAKERANK_H
--- a/test/standin/PlatformGroup.h
+++ b/test/standin/FakeRankGroup.h
@@ -1,4 +1,4 @@
-//===- PlatformGroup.h - fake of a group that steps together ----*- C++ -*-===//
+//===- FakeRankGroup.h - fake of a group that steps together ----*- C++ -*-===//
 //
 // A fake of a group of ranks that the platform forms: handles orders with
 // fencing tokens, copies experts, arms maps, holds steps, and steps all ranks
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_TEST_PLATFORMGROUP_H
-#define OSPREYSPUR_TEST_PLATFORMGROUP_H
+#ifndef OSPREYSPUR_TEST_FAKERANKGROUP_H
+#define OSPREYSPUR_TEST_FAKERANKGROUP_H
 
 #include "ospreyspur/Experts/MapOrder.h"
 #include "ospreyspur/Support/Time.h"
@@ -20,10 +20,10 @@
 using namespace ospreyspur;
 
 /// All ranks of one group.
-class PlatformGroup {
+class FakeRankGroup {
 public:
   /// \p checksFences: whether ranks reject orders with outdated fencing tokens.
-  PlatformGroup(unsigned size, bool checksFences)
+  FakeRankGroup(unsigned size, bool checksFences)
       : Ranks(size), ChecksFences(checksFences) {
     for (unsigned i = 0; i < size; ++i) {
       RankStatus &it = Ranks[i].Status;
@@ -172,4 +172,4 @@
 
 } // namespace standin
 
-#endif // OSPREYSPUR_TEST_PLATFORMGROUP_H
+#endif // OSPREYSPUR_TEST_FAKERANKGROUP_H
--- a/test/standin/Load.cpp
+++ b/test/standin/Load.cpp
@@ -74,7 +74,9 @@
   TimePoint began = monotonicNow();
   HttpSink sink;
   std::string body;
-  sink.OnHead = [&](const HttpRunHead &head) { record.Status = head.Status; };
+  sink.OnHead = [&](const HttpResponseHead &head) {
+    record.Status = head.Status;
+  };
   sink.OnData = [&](std::string_view data) {
     if (record.FirstMs == 0)
       record.FirstMs = millisSince(began);
--- a/test/standin/LockStepGroup.h
+++ b/test/standin/LockStepGroup.h
@@ -9,7 +9,7 @@
 #ifndef OSPREYSPUR_TEST_LOCKSTEPGROUP_H
 #define OSPREYSPUR_TEST_LOCKSTEPGROUP_H
 
-#include "RankModel.h"
+#include "FakeRank.h"
 
 #include "ospreyspur/Experts/ExpertMap.h"
 
@@ -25,7 +25,7 @@
 struct LockStepRank {
   explicit LockStepRank(bool checksFences) : Model(checksFences) {}
 
-  RankModel Model;
+  FakeRank Model;
   bool IsFrozen = false;
   Generation LastGeneration;
   StepNumber LastStep;
--- a/test/standin/Platform.cpp
+++ b/test/standin/Platform.cpp
@@ -79,7 +79,7 @@
     if (DelayMs > 0)
       co_await pause(DelayMs);
     if (monotonicNow() < OutageUntil) {
-      exchange.cut();
+      exchange.abort();
       co_return;
     }
     expire();
@@ -89,11 +89,11 @@
                           : perform(path, url.params(), in, out);
     if (path == "/ospreyspur/kv-txn" && DropAnswers > 0) {
       --DropAnswers;
-      exchange.cut();
+      exchange.abort();
       co_return;
     }
     if (monotonicNow() < OutageUntil) {
-      exchange.cut();
+      exchange.abort();
       co_return;
     }
     co_await reply(exchange, status, out);
--- a/unittests/Config/ConfigWriterTest.cpp
+++ b/unittests/Config/ConfigWriterTest.cpp
@@ -64,7 +64,7 @@
     auto again = [=, this] { step(work, writer, number, id); };
     if (auto *done = std::get_if<ConfigWriter::Done>(&next)) {
       ReportedCodes[id] = done->Outcome.Code;
-      Scheduler.soon([=, this] { begin(writer, number + 1); });
+      Scheduler.runSoon([=, this] { begin(writer, number + 1); });
       return;
     }
     if (auto *pause = std::get_if<ConfigWriter::Pause>(&next)) {
@@ -86,9 +86,9 @@
       });
       return;
     }
-    Scheduler.soon([=, this] {
+    Scheduler.runSoon([=, this] {
       KvReply reply = perform(call);
-      Scheduler.soon([=] {
+      Scheduler.runSoon([=] {
         work->onReply(reply);
         again();
       });
--- a/unittests/Config/GossipWorld.cpp
+++ b/unittests/Config/GossipSimulation.cpp
@@ -1,11 +1,11 @@
-//===- GossipWorld.cpp - simulated gossip fleet ---------------------------===//
+//===- GossipSimulation.cpp - simulated gossip fleet ----------------------===//
 //
 // Delivers messages, calls and timers between the nodes and the fake key-value
 // store. All decisions are made by the GossipNodes.
 //
 //===----------------------------------------------------------------------===//
 
-#include "GossipWorld.h"
+#include "GossipSimulation.h"
 
 #include "ospreyspur/Config/ConfigDocument.h"
 
@@ -25,8 +25,8 @@
   return std::string(key == SharedKey::Config ? ConfigKey : HostsKey);
 }
 
-GossipWorld::GossipWorld(std::uint64_t seed, FleetShape shape,
-                         unsigned lossPercent, unsigned latePercent)
+GossipSimulation::GossipSimulation(std::uint64_t seed, FleetShape shape,
+                                   unsigned lossPercent, unsigned latePercent)
     : Scheduler(seed, latePercent), LossPercent(lossPercent),
       NodesPerDataCentre(shape.Agents + shape.Entries) {
   for (std::size_t d = 0; d < shape.DataCentres; ++d) {
@@ -48,7 +48,7 @@
     start(i);
 }
 
-Revision GossipWorld::write(SharedKey key, const std::string &value) {
+Revision GossipSimulation::write(SharedKey key, const std::string &value) {
   Last = Revision(Last.get() + 1);
   History[Last] = value;
   Values[nameOf(key)] = {ResultCode::Ok, Last, value};
@@ -61,7 +61,7 @@
   return Last;
 }
 
-void GossipWorld::writeHosts(const std::vector<std::size_t> &absent) {
+void GossipSimulation::writeHosts(const std::vector<std::size_t> &absent) {
   std::string text;
   for (std::size_t i = 0; i < Nodes.size(); ++i) {
     const GossipIdentity &id = Nodes[i].Id;
@@ -75,7 +75,7 @@
   write(SharedKey::Hosts, text + "]");
 }
 
-void GossipWorld::start(std::size_t i) {
+void GossipSimulation::start(std::size_t i) {
   Node &node = Nodes[i];
   node.Machine = std::make_unique<GossipNode>(node.Id, GossipLimits(),
                                               Scheduler.below(1U << 30U));
@@ -85,39 +85,40 @@
   apply(i, node.Machine->onTimer(Scheduler.now()));
 }
 
-void GossipWorld::kill(std::size_t i) {
+void GossipSimulation::kill(std::size_t i) {
   Nodes[i].IncarnationNumber = 0;
   Nodes[i].Machine.reset();
 }
 
-void GossipWorld::freeze(std::size_t i, Duration span) {
+void GossipSimulation::freeze(std::size_t i, Duration span) {
   Nodes[i].FrozenUntil = Scheduler.now() + span;
 }
 
-void GossipWorld::setOutage(Duration span) {
+void GossipSimulation::setOutage(Duration span) {
   for (std::size_t i = 0; i < Nodes.size(); i += NodesPerDataCentre)
     cutFromPlatform(i / NodesPerDataCentre, span);
 }
 
-void GossipWorld::cutFromPlatform(std::size_t dataCentre, Duration span) {
+void GossipSimulation::cutFromPlatform(std::size_t dataCentre, Duration span) {
   CutUntil[dataCentre] = Scheduler.now() + span;
   std::erase_if(Held, [&](const HeldWatch &it) {
     return it.Caller / NodesPerDataCentre == dataCentre;
   });
 }
 
-bool GossipWorld::canReachPlatform(std::size_t i) const {
+bool GossipSimulation::canReachPlatform(std::size_t i) const {
   auto cut = CutUntil.find(i / NodesPerDataCentre);
   return cut == CutUntil.end() || cut->second <= Scheduler.now();
 }
 
-bool GossipWorld::isInForce(SharedKey key, Revision at) const {
+bool GossipSimulation::isInForce(SharedKey key, Revision at) const {
   return std::all_of(Nodes.begin(), Nodes.end(), [&](const Node &it) {
     return it.IncarnationNumber == 0 || it.Machine->copy(key).revision() >= at;
   });
 }
 
-Duration GossipWorld::awaitInForce(SharedKey key, Revision at, Duration limit) {
+Duration GossipSimulation::awaitInForce(SharedKey key, Revision at,
+                                        Duration limit) {
   TimePoint began = Scheduler.now();
   while (!isInForce(key, at) && Scheduler.now() - began < limit)
     Scheduler.runUntil(Scheduler.now() + Step);
@@ -125,7 +126,7 @@
 }
 
 std::vector<std::size_t>
-GossipWorld::findWatchers(std::size_t dataCentre) const {
+GossipSimulation::findWatchers(std::size_t dataCentre) const {
   std::vector<std::size_t> out;
   std::size_t first = dataCentre * NodesPerDataCentre;
   for (std::size_t i = first; i < first + NodesPerDataCentre; ++i)
@@ -134,11 +135,11 @@
   return out;
 }
 
-std::size_t GossipWorld::nodeOf(const EndpointId &id) const {
+std::size_t GossipSimulation::nodeOf(const EndpointId &id) const {
   return std::stoul(id.get().substr(1));
 }
 
-void GossipWorld::toNode(
+void GossipSimulation::toNode(
     std::size_t i, std::uint64_t incarnation,
     const std::function<GossipActions(GossipNode &)> &input) {
   Node &node = Nodes[i];
@@ -153,13 +154,13 @@
   apply(i, input(*node.Machine));
 }
 
-void GossipWorld::apply(std::size_t i, const GossipActions &actions) {
+void GossipSimulation::apply(std::size_t i, const GossipActions &actions) {
   for (const GossipAction &action : actions)
     std::visit([this, i](const auto &it) { perform(i, it); }, action);
   setTimer(i);
 }
 
-void GossipWorld::setTimer(std::size_t i) {
+void GossipSimulation::setTimer(std::size_t i) {
   TimePoint due = Nodes[i].Machine->nextTimer();
   Scheduler.at(due, [this, i, incarnation = Nodes[i].IncarnationNumber, due] {
     if (Nodes[i].IncarnationNumber != incarnation ||
@@ -170,17 +171,18 @@
   });
 }
 
-void GossipWorld::count(std::size_t i, const GossipMessage &message) {
+void GossipSimulation::count(std::size_t i, const GossipMessage &message) {
   Nodes[i].BytesOut += SizeOf(message);
   ++Nodes[i].MessagesOut;
 }
 
 template <typename Body>
-void GossipWorld::dial(std::size_t i, const EndpointId &to, const Body &body) {
+void GossipSimulation::dial(std::size_t i, const EndpointId &to,
+                            const Body &body) {
   count(i, body);
   std::size_t k = nodeOf(to);
   LinkId link(Nodes[i].IncarnationNumber * NodesPerIncarnation + i);
-  Scheduler.unreliably(LossPercent, [this, k, link, body] {
+  Scheduler.runUnreliably(LossPercent, [this, k, link, body] {
     toNode(k, Nodes[k].IncarnationNumber, [this, link, body](GossipNode &it) {
       return it.onMessage(link, body, Scheduler.now());
     });
@@ -188,44 +190,45 @@
 }
 
 template <typename Body>
-void GossipWorld::answer(std::size_t i, LinkId to, const Body &body) {
+void GossipSimulation::answer(std::size_t i, LinkId to, const Body &body) {
   count(i, body);
   std::size_t k = to.get() % NodesPerIncarnation;
   std::uint64_t incarnation = to.get() / NodesPerIncarnation;
   EndpointId from = Nodes[i].Id.Endpoint;
-  Scheduler.unreliably(LossPercent, [this, k, incarnation, from, body] {
+  Scheduler.runUnreliably(LossPercent, [this, k, incarnation, from, body] {
     toNode(k, incarnation, [this, from, body](GossipNode &it) {
       return it.onPeerReply(from, body, Scheduler.now());
     });
   });
 }
 
-void GossipWorld::perform(std::size_t i, const SendDigestTo &action) {
+void GossipSimulation::perform(std::size_t i, const SendDigestTo &action) {
   dial(i, action.To, action.Body);
 }
 
-void GossipWorld::perform(std::size_t i, const SendUpdateTo &action) {
+void GossipSimulation::perform(std::size_t i, const SendUpdateTo &action) {
   dial(i, action.To, action.Body);
 }
 
-void GossipWorld::perform(std::size_t i, const ReplyDigest &action) {
+void GossipSimulation::perform(std::size_t i, const ReplyDigest &action) {
   answer(i, action.To, action.Body);
 }
 
-void GossipWorld::perform(std::size_t i, const ReplyUpdate &action) {
+void GossipSimulation::perform(std::size_t i, const ReplyUpdate &action) {
   answer(i, action.To, action.Body);
 }
 
-void GossipWorld::perform(std::size_t i, const CallPlatformForGossip &action) {
+void GossipSimulation::perform(std::size_t i,
+                               const CallPlatformForGossip &action) {
   ++PlatformCalls;
   HeldWatch watch{i, Nodes[i].IncarnationNumber, action.Request.Id,
                   std::get<KvWatch>(action.Request.Call)};
-  Scheduler.soon([this, watch] { hold(watch); });
+  Scheduler.runSoon([this, watch] { hold(watch); });
 }
 
 /// Replies at once if there is a newer value, else at the next write or when
 /// the wait is over.
-void GossipWorld::hold(HeldWatch watch) {
+void GossipSimulation::hold(HeldWatch watch) {
   if (!canReachPlatform(watch.Caller)) {
     KvReply lost;
     lost.Code = ResultCode::PlatformTimeout;
@@ -263,8 +266,8 @@
   });
 }
 
-void GossipWorld::reply(const HeldWatch &watch, const KvReply &value) {
-  Scheduler.soon([this, watch, value] {
+void GossipSimulation::reply(const HeldWatch &watch, const KvReply &value) {
+  Scheduler.runSoon([this, watch, value] {
     toNode(watch.Caller, watch.IncarnationNumber,
            [this, watch, value](GossipNode &it) {
              return it.onKvReply(watch.Id, value, Scheduler.now());
@@ -272,7 +275,7 @@
   });
 }
 
-void GossipWorld::perform(std::size_t i, const CopyChanged &action) {
+void GossipSimulation::perform(std::size_t i, const CopyChanged &action) {
   const KeyFollower &copy = Nodes[i].Machine->copy(action.Key);
   Revision &seen = Nodes[i].Seen[static_cast<std::size_t>(action.Key)];
   if (copy.revision() <= seen || History.at(copy.revision()) != copy.value())
--- a/unittests/Config/GossipWorld.h
+++ b/unittests/Config/GossipSimulation.h
@@ -1,4 +1,4 @@
-//===- GossipWorld.h - simulated gossip fleet -------------------*- C++ -*-===//
+//===- GossipSimulation.h - simulated gossip fleet --------------*- C++ -*-===//
 //
 // Connects real GossipNodes and a fake key-value store through a
 // RandomScheduler. Nodes can be killed or frozen, and the store can be made
@@ -8,8 +8,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_CONFIG_GOSSIPWORLD_H
-#define OSPREYSPUR_UNITTESTS_CONFIG_GOSSIPWORLD_H
+#ifndef OSPREYSPUR_UNITTESTS_CONFIG_GOSSIPSIMULATION_H
+#define OSPREYSPUR_UNITTESTS_CONFIG_GOSSIPSIMULATION_H
 
 #include "RandomScheduler.h"
 
@@ -33,7 +33,7 @@
 };
 
 /// A fleet that runs on virtual time.
-class GossipWorld {
+class GossipSimulation {
 public:
   using GossipMessage = std::variant<GossipDigest, GossipUpdate>;
 
@@ -50,8 +50,8 @@
   };
 
   /// Of the messages, \p lossPercent are lost and as many are delivered twice.
-  GossipWorld(std::uint64_t seed, FleetShape shape, unsigned lossPercent,
-              unsigned latePercent);
+  GossipSimulation(std::uint64_t seed, FleetShape shape, unsigned lossPercent,
+                   unsigned latePercent);
 
   RandomScheduler Scheduler;
   std::vector<Node> Nodes;
@@ -125,4 +125,4 @@
 
 } // namespace ospreyspur::test
 
-#endif // OSPREYSPUR_UNITTESTS_CONFIG_GOSSIPWORLD_H
+#endif // OSPREYSPUR_UNITTESTS_CONFIG_GOSSIPSIMULATION_H
--- a/unittests/Config/GossipTest.cpp
+++ b/unittests/Config/GossipTest.cpp
@@ -6,7 +6,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "GossipWorld.h"
+#include "GossipSimulation.h"
 
 #include "ospreyspur/Control/DirectControl.h"
 
@@ -23,9 +23,10 @@
 
 namespace {
 /// A fleet without message loss, after its start phase.
-class StartedSimulation : public GossipWorld {
+class StartedSimulation : public GossipSimulation {
 public:
-  explicit StartedSimulation(FleetShape shape) : GossipWorld(1, shape, 0, 0) {
+  explicit StartedSimulation(FleetShape shape)
+      : GossipSimulation(1, shape, 0, 0) {
     Scheduler.runUntil(Scheduler.now() + StartTime);
   }
 
@@ -38,59 +39,60 @@
 
 TEST_CASE(
     "a change reaches all nodes at once and only watchers call the store") {
-  StartedSimulation world({3, 30, 20});
+  StartedSimulation simulation({3, 30, 20});
   for (std::size_t d = 0; d < 3; ++d)
-    CHECK(world.findWatchers(d).size() == 2);
-  CHECK(world.timeInForce("second") < milliseconds(100));
-  std::size_t before = world.PlatformCalls;
-  world.Scheduler.runUntil(world.Scheduler.now() + seconds(60));
+    CHECK(simulation.findWatchers(d).size() == 2);
+  CHECK(simulation.timeInForce("second") < milliseconds(100));
+  std::size_t before = simulation.PlatformCalls;
+  simulation.Scheduler.runUntil(simulation.Scheduler.now() + seconds(60));
   // 6 watchers with 2 keys each, and one watch per second and key.
-  CHECK(world.PlatformCalls - before <= 6 * 2 * 61);
-  CHECK(world.Violations == 0);
+  CHECK(simulation.PlatformCalls - before <= 6 * 2 * 61);
+  CHECK(simulation.Violations == 0);
 }
 
 TEST_CASE("a change is in force in time although both watchers are dead") {
-  StartedSimulation world({3, 30, 20});
-  for (std::size_t it : world.findWatchers(1))
-    world.kill(it);
-  CHECK(world.timeInForce("second") <= InForceLimit);
-  CHECK(world.timeInForce("third") <= InForceLimit);
+  StartedSimulation simulation({3, 30, 20});
+  for (std::size_t it : simulation.findWatchers(1))
+    simulation.kill(it);
+  CHECK(simulation.timeInForce("second") <= InForceLimit);
+  CHECK(simulation.timeInForce("third") <= InForceLimit);
 }
 
 TEST_CASE("nodes read the store themselves if there is no watcher") {
-  StartedSimulation world({1, 6, 4});
-  for (std::size_t it : world.findWatchers(0))
-    world.kill(it);
-  CHECK(world.timeInForce("second") <= InForceLimit);
+  StartedSimulation simulation({1, 6, 4});
+  for (std::size_t it : simulation.findWatchers(0))
+    simulation.kill(it);
+  CHECK(simulation.timeInForce("second") <= InForceLimit);
 }
 
 TEST_CASE("a data centre cut off from the store gets changes from the others") {
-  StartedSimulation world({3, 30, 20});
-  world.cutFromPlatform(1, seconds(600));
-  CHECK(world.timeInForce("second") <= InForceLimit);
+  StartedSimulation simulation({3, 30, 20});
+  simulation.cutFromPlatform(1, seconds(600));
+  CHECK(simulation.timeInForce("second") <= InForceLimit);
 }
 
 TEST_CASE("agents whose parents are frozen learn from others") {
-  StartedSimulation world({1, 30, 20});
-  world.Scheduler.runUntil(world.Scheduler.now() + seconds(10));
+  StartedSimulation simulation({1, 30, 20});
+  simulation.Scheduler.runUntil(simulation.Scheduler.now() + seconds(10));
   // All but the watchers' first children, so that most parents are silent.
-  std::vector<std::size_t> watchers = world.findWatchers(0);
+  std::vector<std::size_t> watchers = simulation.findWatchers(0);
   for (std::size_t i = 0; i < 15; ++i)
     if (std::find(watchers.begin(), watchers.end(), i) == watchers.end())
-      world.kill(i);
-  CHECK(world.timeInForce("second") <= InForceLimit);
+      simulation.kill(i);
+  CHECK(simulation.timeInForce("second") <= InForceLimit);
 }
 
 TEST_CASE("a node that starts during an outage gets its values from peers") {
-  StartedSimulation world({2, 6, 4});
-  world.setOutage(seconds(600));
-  std::size_t last = world.Nodes.size() - 1;
-  world.kill(last);
-  world.start(last);
-  CHECK_FALSE(world.Nodes[last].Machine->isReady());
-  world.Scheduler.runUntil(world.Scheduler.now() + seconds(3));
-  CHECK(world.Nodes[last].Machine->isReady());
-  CHECK(world.Nodes[last].Machine->copy(SharedKey::Config).value() == "first");
+  StartedSimulation simulation({2, 6, 4});
+  simulation.setOutage(seconds(600));
+  std::size_t last = simulation.Nodes.size() - 1;
+  simulation.kill(last);
+  simulation.start(last);
+  CHECK_FALSE(simulation.Nodes[last].Machine->isReady());
+  simulation.Scheduler.runUntil(simulation.Scheduler.now() + seconds(3));
+  CHECK(simulation.Nodes[last].Machine->isReady());
+  CHECK(simulation.Nodes[last].Machine->copy(SharedKey::Config).value() ==
+        "first");
 }
 
 TEST_CASE("replies of a single peer do not make a node ready") {
@@ -129,31 +131,31 @@
   CHECK(node.copy(SharedKey::Config).value() == "seven");
 }
 
-/// Injects a random fault, drawn from the world's seed.
-static void injectRandomFault(GossipWorld &world) {
-  RandomScheduler &random = world.Scheduler;
-  std::size_t i = random.below(world.Nodes.size());
+/// Injects a random fault, drawn from the simulation's seed.
+static void injectRandomFault(GossipSimulation &simulation) {
+  RandomScheduler &random = simulation.Scheduler;
+  std::size_t i = random.below(simulation.Nodes.size());
   Duration span = milliseconds(random.below(10000));
   switch (random.below(5)) {
   case 0:
-    world.kill(i);
-    random.at(random.now() + span, [&world, i] {
-      if (world.Nodes[i].IncarnationNumber == 0)
-        world.start(i);
+    simulation.kill(i);
+    random.at(random.now() + span, [&simulation, i] {
+      if (simulation.Nodes[i].IncarnationNumber == 0)
+        simulation.start(i);
     });
     return;
   case 1:
-    world.freeze(i, span);
+    simulation.freeze(i, span);
     return;
   case 2:
-    world.setOutage(span);
+    simulation.setOutage(span);
     return;
   case 3:
-    world.cutFromPlatform(random.below(3), span);
+    simulation.cutFromPlatform(random.below(3), span);
     return;
   default:
     // The host list is outdated or wrong.
-    world.writeHosts({i, random.below(world.Nodes.size())});
+    simulation.writeHosts({i, random.below(simulation.Nodes.size())});
   }
 }
 
@@ -162,21 +164,22 @@
   Duration worst{};
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     INFO("seed " << seed);
-    GossipWorld world(seed, {3, 4, 2}, 5, 5);
-    RandomScheduler &random = world.Scheduler;
+    GossipSimulation simulation(seed, {3, 4, 2}, 5, 5);
+    RandomScheduler &random = simulation.Scheduler;
     for (int i = 0; i < 8; ++i) {
       random.at(random.now() + milliseconds(random.below(20000)),
-                [&world] { injectRandomFault(world); });
-      random.at(random.now() + milliseconds(random.below(20000)), [&world, i] {
-        world.write(SharedKey::Config, "change " + std::to_string(i));
-      });
+                [&simulation] { injectRandomFault(simulation); });
+      random.at(
+          random.now() + milliseconds(random.below(20000)), [&simulation, i] {
+            simulation.write(SharedKey::Config, "change " + std::to_string(i));
+          });
     }
     random.runUntil(random.now() + seconds(31));
-    Revision last = world.write(SharedKey::Config, "the last");
+    Revision last = simulation.write(SharedKey::Config, "the last");
     Duration span =
-        world.awaitInForce(SharedKey::Config, last, 2 * InForceLimit);
+        simulation.awaitInForce(SharedKey::Config, last, 2 * InForceLimit);
     CHECK(span <= InForceLimit);
-    CHECK(world.Violations == 0);
+    CHECK(simulation.Violations == 0);
     worst = std::max(worst, span);
   }
   MESSAGE("longest until in force: ", worst.count() / 1000, " ms");
--- a/unittests/Direct/CrashSimulation.cpp
+++ b/unittests/Direct/CrashSimulation.cpp
@@ -29,9 +29,9 @@
   RouteRule route = makeRoute(RequestKind::Stream, 2, true);
   route.Services = {{ServiceId("s"), 1}};
   config->Routes.push_back(route);
-  EngineFigures engine;
+  EngineCosts engine;
   engine.StepPerRequest = milliseconds(1);
-  engine.ReadTokensPerSecond = 70000;
+  engine.PrefillTokensPerSecond = 70000;
   config->Services.emplace(ServiceId("s"),
                            ServiceRule{ServiceId("s"), 400, engine});
   Config = std::move(config);
@@ -49,12 +49,12 @@
 EndpointRecord CrashSimulation::recordOf(unsigned i) const {
   EndpointRecord out;
   out.Name = "e" + std::to_string(i);
-  out.Life = EndpointLife(Endpoints[i].Life);
-  out.Id = makeEndpointId(out.Name, out.Life);
+  out.Incarnation = EndpointIncarnation(Endpoints[i].Incarnation);
+  out.Id = makeEndpointId(out.Name, out.Incarnation);
   out.Service = ServiceId("s");
   out.DataCentre = DataCentreId("a");
   out.Slots = Slots;
-  out.TellsState = true;
+  out.AnswersStatusQueries = true;
   return out;
 }
 
@@ -71,16 +71,16 @@
 
 void CrashSimulation::startEntry(unsigned i) {
   Entry &entry = Entries[i];
-  ++entry.Life;
+  ++entry.Incarnation;
   entry.FrozenUntil = TimePoint();
   entry.TimerAt = TimePoint();
   entry.DisturbedAt = Time.now();
   entry.Node = std::make_unique<DirectNode>(DataCentreId("a"), DirectLimits(),
                                             Time.below(1U << 30U));
   entry.Node->setEndpoints(list());
-  deliver(i, entry.Life,
+  deliver(i, entry.Incarnation,
           [this](DirectNode &it) { return it.onTimer(Time.now()); });
-  report(i, entry.Life);
+  report(i, entry.Incarnation);
 }
 
 void CrashSimulation::publish() {
@@ -96,16 +96,15 @@
 void CrashSimulation::toEntry(
     unsigned i, std::function<DirectActions(DirectNode &)> input) {
   Time.at(Time.now() + between(milliseconds(1), milliseconds(3)),
-          [this, i, incarnation = Entries[i].Life, input = std::move(input)] {
-            deliver(i, incarnation, input);
-          });
+          [this, i, incarnation = Entries[i].Incarnation,
+           input = std::move(input)] { deliver(i, incarnation, input); });
 }
 
 void CrashSimulation::deliver(
     unsigned i, unsigned incarnation,
     const std::function<DirectActions(DirectNode &)> &input) {
   Entry &entry = Entries[i];
-  if (entry.Life != incarnation || !entry.Node)
+  if (entry.Incarnation != incarnation || !entry.Node)
     return;
   if (Time.now() < entry.FrozenUntil) {
     Time.at(entry.FrozenUntil,
@@ -124,7 +123,7 @@
     return;
   // A node whose timer is already due is called a moment later.
   entry.TimerAt = std::max(*due, Time.now() + milliseconds(1));
-  Time.at(entry.TimerAt, [this, i, incarnation = entry.Life] {
+  Time.at(entry.TimerAt, [this, i, incarnation = entry.Incarnation] {
     deliver(i, incarnation,
             [this](DirectNode &it) { return it.onTimer(Time.now()); });
   });
@@ -132,7 +131,7 @@
 
 void CrashSimulation::report(unsigned i, unsigned incarnation) {
   Entry &entry = Entries[i];
-  if (entry.Life != incarnation || !entry.Node)
+  if (entry.Incarnation != incarnation || !entry.Node)
     return;
   Time.at(Time.now() + milliseconds(50),
           [this, i, incarnation] { report(i, incarnation); });
@@ -141,10 +140,11 @@
 
 void CrashSimulation::sendReport(unsigned i, unsigned incarnation) {
   Entry &entry = Entries[i];
-  if (entry.Life != incarnation || !entry.Node ||
+  if (entry.Incarnation != incarnation || !entry.Node ||
       Time.now() < entry.FrozenUntil)
     return;
-  std::vector<EndpointLoad> loads = entry.Node->book().ownLoads(Time.now());
+  std::vector<EndpointLoad> loads =
+      entry.Node->endpointTable().ownLoads(Time.now());
   CrashReport crashes = entry.Node->takeCrashReport(Time.now());
   std::string name = "n" + std::to_string(i);
   for (unsigned k = 0; k < Entries.size(); ++k) {
@@ -217,7 +217,7 @@
 }
 
 void CrashSimulation::perform(unsigned i, const StartAttempt &it) {
-  Run run{i, Entries[i].Life, it.Call, Callers[it.Call].Request, false};
+  Run run{i, Entries[i].Incarnation, it.Call, Callers[it.Call].Request, false};
   // A change is reported after the delay that batches changes.
   Time.at(Time.now() + milliseconds(8),
           [this, i, incarnation = run.EntryIncarnation] {
@@ -236,7 +236,7 @@
     return;
   }
   if (recordOf(endpoint).Id != meant) {
-    endRun(run, AttemptEnd::OtherEndpoint, ConnectionEnd::Ours);
+    endRun(run, AttemptEnd::OtherIncarnation, ConnectionEnd::Ours);
     return;
   }
   if (Time.now() - Entries[run.Entry].DisturbedAt >= ContactTime)
@@ -247,14 +247,14 @@
   }
   std::uint64_t number = ++LastRun;
   it.Runs[number] = run;
-  unsigned incarnation = it.Life;
+  unsigned incarnation = it.Incarnation;
   Duration queued = between(milliseconds(30), milliseconds(250));
   if (isDeadly(run.Request)) {
     Duration ran = queued + between(milliseconds(20), milliseconds(90));
     Time.at(Time.now() + ran, [this, endpoint, number, incarnation] {
       Endpoint &there = Endpoints[endpoint];
       auto found = there.Runs.find(number);
-      if (there.Life != incarnation || found == there.Runs.end())
+      if (there.Incarnation != incarnation || found == there.Runs.end())
         return;
       CrashTimes[found->second.Request].push_back(Time.now());
       crash(endpoint);
@@ -264,7 +264,7 @@
   Time.at(Time.now() + queued, [this, endpoint, number, incarnation] {
     Endpoint &there = Endpoints[endpoint];
     auto found = there.Runs.find(number);
-    if (there.Life != incarnation || found == there.Runs.end() ||
+    if (there.Incarnation != incarnation || found == there.Runs.end() ||
         Time.now() < OpenAt[there.Group])
       return;
     found->second.HasBegun = true;
@@ -284,7 +284,7 @@
   Endpoint &it = Endpoints[endpoint];
   auto found = it.Runs.find(run);
   // Stalled requests are cut by stall().
-  if (it.Life != incarnation || found == it.Runs.end() ||
+  if (it.Incarnation != incarnation || found == it.Runs.end() ||
       Time.now() < OpenAt[it.Group])
     return;
   Run done = found->second;
@@ -295,7 +295,7 @@
 
 void CrashSimulation::endRun(const Run &run, AttemptEnd end,
                              ConnectionEnd connection) {
-  if (Entries[run.Entry].Life != run.EntryIncarnation)
+  if (Entries[run.Entry].Incarnation != run.EntryIncarnation)
     return;
   toEntry(run.Entry, [this, run, end, connection](DirectNode &it) {
     return it.onAttemptEnded(run.Call, end, Time.now(), connection);
@@ -318,7 +318,7 @@
   Time.at(Time.now() + StallTime, [this, group = it.Group] { stall(group); });
   Time.at(back, [this, endpoint] {
     Endpoints[endpoint].IsUp = true;
-    ++Endpoints[endpoint].Life;
+    ++Endpoints[endpoint].Incarnation;
     publish();
   });
 }
@@ -337,31 +337,32 @@
   onResult(it.Call, it.Code);
 }
 
-void CrashSimulation::perform(unsigned i, const PassOnAnswer &it) {
+void CrashSimulation::perform(unsigned i, const ForwardResponse &it) {
   onResult(it.Call, ResultCode::EndpointFailed);
   toEntry(i, [this, id = it.Call](DirectNode &node) {
-    return node.onCallGone(id, Time.now());
+    return node.onCallClosed(id, Time.now());
   });
 }
 
-void CrashSimulation::perform(unsigned i, const AskEndpoint &it) {
+void CrashSimulation::perform(unsigned i, const QueryEndpoint &it) {
   Endpoint &there = Endpoints[indexOf(it.Endpoint.Id)];
-  std::optional<EndpointCondition> condition;
+  std::optional<EndpointStatus> status;
   if (there.IsUp && recordOf(indexOf(it.Endpoint.Id)).Id == it.Endpoint.Id)
-    condition = EndpointCondition{GroupId("g" + std::to_string(there.Group)),
-                                  Time.now() >= OpenAt[there.Group],
-                                  unsigned(there.Runs.size()), 1};
-  toEntry(i, [this, id = it.Endpoint.Id, condition](DirectNode &node) {
-    return node.onTold(id, condition, Time.now());
+    status = EndpointStatus{GroupId("g" + std::to_string(there.Group)),
+                            Time.now() >= OpenAt[there.Group],
+                            unsigned(there.Runs.size()), 1};
+  toEntry(i, [this, id = it.Endpoint.Id, status](DirectNode &node) {
+    return node.onStatusReport(id, status, Time.now());
   });
 }
 
 void CrashSimulation::perform(unsigned i, const CheckEndpoint &it) {
   unsigned index = indexOf(it.Endpoint.Id);
   bool isAlive = Endpoints[index].IsUp && recordOf(index).Id == it.Endpoint.Id;
-  EndpointFate fate = isAlive ? EndpointFate::Alive : EndpointFate::Ended;
-  toEntry(i, [this, id = it.Endpoint.Id, fate](DirectNode &node) {
-    return node.onChecked(id, fate, Time.now());
+  EndpointLiveness liveness =
+      isAlive ? EndpointLiveness::Alive : EndpointLiveness::Exited;
+  toEntry(i, [this, id = it.Endpoint.Id, liveness](DirectNode &node) {
+    return node.onChecked(id, liveness, Time.now());
   });
 }
 
@@ -369,7 +370,7 @@
   for (Endpoint &endpoint : Endpoints)
     for (auto run = endpoint.Runs.begin(); run != endpoint.Runs.end(); ++run) {
       bool isIt = run->second.Call == it.Call && run->second.Entry == i &&
-                  run->second.EntryIncarnation == Entries[i].Life;
+                  run->second.EntryIncarnation == Entries[i].Incarnation;
       if (!isIt)
         continue;
       Run stopped = run->second;
@@ -383,7 +384,7 @@
 
 void CrashSimulation::killEntry(unsigned i) {
   Entry &entry = Entries[i];
-  ++entry.Life;
+  ++entry.Incarnation;
   entry.Node.reset();
   for (Endpoint &it : Endpoints)
     std::erase_if(it.Runs,
--- a/unittests/Direct/CrashSimulation.h
+++ b/unittests/Direct/CrashSimulation.h
@@ -72,7 +72,7 @@
 private:
   struct Entry {
     std::unique_ptr<DirectNode> Node;
-    unsigned Life = 0;
+    unsigned Incarnation = 0;
     TimePoint FrozenUntil;
     TimePoint TimerAt;
     /// When the entry was last started or resumed.
@@ -87,7 +87,7 @@
   };
   struct Endpoint {
     unsigned Group = 0;
-    unsigned Life = 1;
+    unsigned Incarnation = 1;
     bool IsUp = true;
     std::map<std::uint64_t, Run> Runs;
   };
@@ -116,8 +116,8 @@
   void onResult(CallId id, ResultCode code);
   void perform(unsigned i, const StartAttempt &it);
   void perform(unsigned i, const EndCall &it);
-  void perform(unsigned i, const PassOnAnswer &it);
-  void perform(unsigned i, const AskEndpoint &it);
+  void perform(unsigned i, const ForwardResponse &it);
+  void perform(unsigned i, const QueryEndpoint &it);
   void perform(unsigned i, const CheckEndpoint &it);
   void perform(unsigned i, const StopAttempt &it);
   void onArrival(unsigned endpoint, const Run &run, const EndpointId &meant);
--- a/unittests/Direct/CrashedGroupTest.cpp
+++ b/unittests/Direct/CrashedGroupTest.cpp
@@ -41,7 +41,7 @@
                                             Now, ConnectionEnd::Endpoint);
     CHECK(find<CheckEndpoint>(cut));
     CHECK_FALSE(find<StartAttempt>(cut));
-    return Node.onChecked(Endpoints[1], EndpointFate::Ended, Now);
+    return Node.onChecked(Endpoints[1], EndpointLiveness::Exited, Now);
   }
 
   std::vector<std::string> Groups;
@@ -81,7 +81,7 @@
   fixture.Node.onAttemptEnded(CallId(1), AttemptEnd::BrokeOff, fixture.Now,
                               ConnectionEnd::Endpoint);
   DirectActions actions = fixture.Node.onChecked(
-      fixture.Endpoints[1], EndpointFate::Alive, fixture.Now);
+      fixture.Endpoints[1], EndpointLiveness::Alive, fixture.Now);
   CHECK(find<StartAttempt>(actions));
   bool isUsed = false;
   for (std::uint64_t id = 10; id < 16; ++id)
@@ -91,12 +91,12 @@
 
 TEST_CASE("a crash that another entry reports closes the group") {
   CrashedGroupFixture fixture;
-  CrashRow row;
-  row.Request = RequestDigest(99);
-  row.Crashes.push_back({digestLife(fixture.Endpoints[1]),
-                         std::chrono::milliseconds(10),
-                         std::chrono::milliseconds(100)});
-  fixture.Node.onCrashReport("other", {{row}, {}}, fixture.Now);
+  CrashRecord record;
+  record.Request = RequestDigest(99);
+  record.Crashes.push_back({digestIncarnation(fixture.Endpoints[1]),
+                            std::chrono::milliseconds(10),
+                            std::chrono::milliseconds(100)});
+  fixture.Node.onCrashReport("other", {{record}, {}}, fixture.Now);
   for (std::uint64_t id = 10; id < 16; ++id)
     CHECK(fixture.startAt(id) != fixture.Groups[0]);
 }
@@ -110,6 +110,6 @@
       CallId(5), AttemptEnd::Lost, fixture.Now, ConnectionEnd::Endpoint);
   CHECK_FALSE(find<EndCall>(cut));
   DirectActions known = fixture.Node.onChecked(
-      fixture.Endpoints[5], EndpointFate::Alive, fixture.Now);
+      fixture.Endpoints[5], EndpointLiveness::Alive, fixture.Now);
   CHECK(find<StartAttempt>(known));
 }
--- a/unittests/Direct/DirectCallsTest.cpp
+++ b/unittests/Direct/DirectCallsTest.cpp
@@ -23,7 +23,7 @@
           "group slow") {
   TwoGroupFixture fixture;
   auto config = std::make_shared<FleetConfig>(*fixture.Config);
-  config->Services.at(ServiceId("s")).Engine->UsualAnswer = 600;
+  config->Services.at(ServiceId("s")).Engine->TypicalOutputTokens = 600;
   fixture.Config = config;
   constexpr std::uint64_t Streams = 6;
   std::vector<std::string> groups;
@@ -45,8 +45,8 @@
   write(4, true);
   write(50, false); // 2.5 s; the other streams receive events
   write(2, true);
-  for (const auto &[id, state] : fixture.Node.book().states())
-    CHECK(fixture.Node.book().gapOf(state, fixture.Now) < 2 * Step);
+  for (const auto &[id, state] : fixture.Node.endpointTable().states())
+    CHECK(fixture.Node.endpointTable().gapOf(state, fixture.Now) < 2 * Step);
   CHECK(stopped == 0);
 }
 
@@ -75,12 +75,12 @@
   TwoGroupFixture fixture;
   std::string group = fixture.start(1);
   DirectActions refused = fixture.end(1, AttemptEnd::Full);
-  const auto *query = find<AskEndpoint>(refused);
+  const auto *query = find<QueryEndpoint>(refused);
   REQUIRE(query);
   EndpointId full = query->Endpoint.Id;
-  fixture.Node.onTold(full, EndpointCondition{GroupId(group), true, 4},
-                      fixture.Now);
-  for (const auto &[id, state] : fixture.Node.book().states())
+  fixture.Node.onStatusReport(full, EndpointStatus{GroupId(group), true, 4},
+                              fixture.Now);
+  for (const auto &[id, state] : fixture.Node.endpointTable().states())
     if (state.Group == GroupId(group) && id != full)
       CHECK_FALSE(state.MustReport);
 }
@@ -94,8 +94,8 @@
   fixture.Now += seconds(1);
   for (std::uint64_t id : {1, 2})
     fixture.Node.onSilent(CallId(id), fixture.Now);
-  CHECK(fixture.Node.book().find(EndpointId("e0"))->SuspectUntil ==
-        fixture.Now + EndpointBook::FirstSuspicion);
+  CHECK(fixture.Node.endpointTable().find(EndpointId("e0"))->SuspectUntil ==
+        fixture.Now + EndpointTable::FirstSuspicion);
 }
 
 TEST_CASE("a stream that has begun is not ended because many calls wait") {
@@ -116,7 +116,7 @@
   REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::BrokeOff)));
   for (std::uint64_t id = 2; !fixture.call(id).empty(); ++id)
     ;
-  CHECK(countOf<PassOnAnswer>(fixture.end(1, AttemptEnd::Failed)) == 0);
+  CHECK(countOf<ForwardResponse>(fixture.end(1, AttemptEnd::Failed)) == 0);
 }
 
 TEST_CASE("a stream that has begun gets a slot after calls that can be within "
@@ -157,7 +157,8 @@
   SUBCASE("the endpoint with the reserved slot starts draining") {
     REQUIRE(only<StopAttempt>(fixture.Node.onSilent(CallId(1), fixture.Now)));
     for (ListedEndpoint &it : fixture.Listed) {
-      const EndpointState *state = fixture.Node.book().find(it.Record.Id);
+      const EndpointState *state =
+          fixture.Node.endpointTable().find(it.Record.Id);
       it.Record.IsLeaving = state->OwnRequests > 0;
     }
     fixture.Node.setEndpoints(fixture.Listed);
@@ -175,7 +176,7 @@
   }
   SUBCASE("the caller hangs up") {
     REQUIRE(only<StopAttempt>(fixture.Node.onSilent(CallId(1), fixture.Now)));
-    fixture.Node.onCallGone(CallId(1), fixture.Now);
+    fixture.Node.onCallClosed(CallId(1), fixture.Now);
     REQUIRE(only<StartAttempt>(fixture.call(2)));
     CHECK(countOf<StartAttempt>(fixture.end(2, AttemptEnd::Lost)) == 1);
   }
@@ -189,7 +190,7 @@
   REQUIRE(fixture.call(2).empty());
   std::optional<TimePoint> next = fixture.Node.nextTimer();
   REQUIRE(next);
-  CHECK(*next <= fixture.Now + EndpointBook::FullTime);
+  CHECK(*next <= fixture.Now + EndpointTable::FullTime);
 }
 
 TEST_CASE("a waiting stream is not sent after its deadline") {
@@ -200,7 +201,7 @@
   REQUIRE(only<StartAttempt>(fixture.call(1)));
   fixture.Node.onFirstByte(CallId(1), fixture.Now);
   EndpointId other("e0");
-  if (fixture.Node.book().find(other)->OwnRequests > 0)
+  if (fixture.Node.endpointTable().find(other)->OwnRequests > 0)
     other = EndpointId("e1");
   fixture.Node.setPeerLoad("n", {{other, 100, 0}}, fixture.Now);
   fixture.end(1, AttemptEnd::BrokeOff);
@@ -240,7 +241,7 @@
       only<StartAttempt>(fixture.Node.onCall(std::move(request), fixture.Now)));
   fixture.Now += milliseconds(50);
   fixture.end(1, AttemptEnd::Lost);
-  CHECK(fixture.Node.book().find(EndpointId("e0"))->SuspectUntil <=
+  CHECK(fixture.Node.endpointTable().find(EndpointId("e0"))->SuspectUntil <=
         fixture.Now);
 }
 
@@ -248,20 +249,20 @@
   TwoGroupFixture fixture;
   std::string group = fixture.start(1);
   DirectActions refused = fixture.end(1, AttemptEnd::Full);
-  REQUIRE(countOf<AskEndpoint>(refused) == 1);
-  EndpointId unresponsive = find<AskEndpoint>(refused)->Endpoint.Id;
+  REQUIRE(countOf<QueryEndpoint>(refused) == 1);
+  EndpointId unresponsive = find<QueryEndpoint>(refused)->Endpoint.Id;
   DirectActions next =
-      fixture.Node.onTold(unresponsive, std::nullopt, fixture.Now);
-  REQUIRE(countOf<AskEndpoint>(next) == 1);
-  EndpointId other = find<AskEndpoint>(next)->Endpoint.Id;
+      fixture.Node.onStatusReport(unresponsive, std::nullopt, fixture.Now);
+  REQUIRE(countOf<QueryEndpoint>(next) == 1);
+  EndpointId other = find<QueryEndpoint>(next)->Endpoint.Id;
   REQUIRE(other != unresponsive);
-  fixture.Node.onTold(other, EndpointCondition{GroupId(group), false, 0},
-                      fixture.Now);
-  fixture.Now += EndpointBook::QueryInterval;
+  fixture.Node.onStatusReport(other, EndpointStatus{GroupId(group), false, 0},
+                              fixture.Now);
+  fixture.Now += EndpointTable::QueryInterval;
   DirectActions again = fixture.Node.onTimer(fixture.Now);
-  REQUIRE(countOf<AskEndpoint>(again) == 1);
+  REQUIRE(countOf<QueryEndpoint>(again) == 1);
   // The unresponsive endpoint must not be queried again for a second.
-  CHECK(find<AskEndpoint>(again)->Endpoint.Id == other);
+  CHECK(find<QueryEndpoint>(again)->Endpoint.Id == other);
 }
 
 TEST_CASE("the status report of one rank does not prove that an unreachable "
@@ -269,14 +270,16 @@
   TwoGroupFixture fixture;
   std::string group = fixture.start(1);
   DirectActions refused = fixture.end(1, AttemptEnd::Full);
-  EndpointId unresponsive = find<AskEndpoint>(refused)->Endpoint.Id;
+  EndpointId unresponsive = find<QueryEndpoint>(refused)->Endpoint.Id;
   fixture.Now += seconds(5);
   DirectActions next =
-      fixture.Node.onTold(unresponsive, std::nullopt, fixture.Now);
-  REQUIRE(countOf<AskEndpoint>(next) == 1);
-  fixture.Node.onTold(find<AskEndpoint>(next)->Endpoint.Id,
-                      EndpointCondition{GroupId(group), true, 0}, fixture.Now);
-  CHECK(fixture.Node.book().find(unresponsive)->ProvenAt != fixture.Now);
+      fixture.Node.onStatusReport(unresponsive, std::nullopt, fixture.Now);
+  REQUIRE(countOf<QueryEndpoint>(next) == 1);
+  fixture.Node.onStatusReport(find<QueryEndpoint>(next)->Endpoint.Id,
+                              EndpointStatus{GroupId(group), true, 0},
+                              fixture.Now);
+  CHECK(fixture.Node.endpointTable().find(unresponsive)->ProvenAt !=
+        fixture.Now);
 }
 
 TEST_CASE(
@@ -303,9 +306,9 @@
           "inter-event gap of its group") {
   TwoGroupFixture fixture;
   std::string group = loseOneSilent(fixture);
-  for (const auto &[id, state] : fixture.Node.book().states())
+  for (const auto &[id, state] : fixture.Node.endpointTable().states())
     if (state.Group == GroupId(group))
-      CHECK(fixture.Node.book().gapOf(state, fixture.Now) <
+      CHECK(fixture.Node.endpointTable().gapOf(state, fixture.Now) <
             DirectLimits().SlowGap);
 }
 
@@ -327,7 +330,7 @@
       stopped +=
           countOf<StopAttempt>(fixture.Node.onEvents(CallId(id), fixture.Now));
   }
-  for (const auto &[id, state] : fixture.Node.book().states())
-    CHECK(fixture.Node.book().gapOf(state, fixture.Now) < 2 * Step);
+  for (const auto &[id, state] : fixture.Node.endpointTable().states())
+    CHECK(fixture.Node.endpointTable().gapOf(state, fixture.Now) < 2 * Step);
   CHECK(stopped == 0);
 }
--- a/unittests/Direct/DirectGroupTest.cpp
+++ b/unittests/Direct/DirectGroupTest.cpp
@@ -21,7 +21,7 @@
   GroupFixture() : NodeFixture(0, makeRoute(RequestKind::Repeatable, 2)) {
     for (const char *id : {"e0", "e1", "e2"}) {
       add(id);
-      Listed.back().Record.TellsState = true;
+      Listed.back().Record.AnswersStatusQueries = true;
       Listed.back().Record.Slots = 4;
     }
     Node.setEndpoints(Listed);
@@ -32,10 +32,10 @@
                                      unsigned running = 0) {
     std::vector<DirectActions> out;
     for (const DirectAction &it : actions)
-      if (const auto *query = std::get_if<AskEndpoint>(&it))
-        out.push_back(
-            Node.onTold(query->Endpoint.Id,
-                        EndpointCondition{GroupId("g"), isOpen, running}, Now));
+      if (const auto *query = std::get_if<QueryEndpoint>(&it))
+        out.push_back(Node.onStatusReport(
+            query->Endpoint.Id, EndpointStatus{GroupId("g"), isOpen, running},
+            Now));
     return out;
   }
 
@@ -48,7 +48,7 @@
   GroupFixture fixture;
   CHECK(fixture.call(1).empty());
   DirectActions queries = fixture.Node.onTimer(fixture.Now);
-  CHECK(countOf<AskEndpoint>(queries) == 3);
+  CHECK(countOf<QueryEndpoint>(queries) == 3);
   std::vector<DirectActions> after = fixture.respond(queries, true);
   CHECK(countOf<StartAttempt>(after.front()) == 1);
 }
@@ -62,15 +62,15 @@
   // The whole group is excluded and one of its endpoints is queried.
   DirectActions refused = fixture.end(1, AttemptEnd::Full);
   CHECK(countOf<StartAttempt>(refused) == 0);
-  CHECK(countOf<AskEndpoint>(refused) == 1);
+  CHECK(countOf<QueryEndpoint>(refused) == 1);
   DirectActions other = fixture.end(2, AttemptEnd::Full);
   CHECK(countOf<StartAttempt>(other) == 0);
   // It is queried again until it is open.
   fixture.respond(refused, false);
-  CHECK(countOf<AskEndpoint>(fixture.Node.onTimer(fixture.Now)) == 0);
-  fixture.Now += EndpointBook::QueryInterval;
+  CHECK(countOf<QueryEndpoint>(fixture.Node.onTimer(fixture.Now)) == 0);
+  fixture.Now += EndpointTable::QueryInterval;
   DirectActions again = fixture.Node.onTimer(fixture.Now);
-  CHECK(countOf<AskEndpoint>(again) == 1);
+  CHECK(countOf<QueryEndpoint>(again) == 1);
   std::vector<DirectActions> after = fixture.respond(again, true);
   CHECK(countOf<StartAttempt>(after.front()) == 2);
 }
@@ -81,13 +81,13 @@
   fixture.open();
   REQUIRE(countOf<StartAttempt>(fixture.call(1)) == 1);
   DirectActions refused = fixture.end(1, AttemptEnd::Full);
-  REQUIRE(countOf<AskEndpoint>(refused) == 1);
-  EndpointId unresponsive = find<AskEndpoint>(refused)->Endpoint.Id;
+  REQUIRE(countOf<QueryEndpoint>(refused) == 1);
+  EndpointId unresponsive = find<QueryEndpoint>(refused)->Endpoint.Id;
   // Another endpoint of the group is queried instead.
   DirectActions next =
-      fixture.Node.onTold(unresponsive, std::nullopt, fixture.Now);
-  REQUIRE(countOf<AskEndpoint>(next) == 1);
-  CHECK(find<AskEndpoint>(next)->Endpoint.Id != unresponsive);
+      fixture.Node.onStatusReport(unresponsive, std::nullopt, fixture.Now);
+  REQUIRE(countOf<QueryEndpoint>(next) == 1);
+  CHECK(find<QueryEndpoint>(next)->Endpoint.Id != unresponsive);
   fixture.respond(next, true);
   CHECK(countOf<StartAttempt>(fixture.call(2)) == 1);
 }
@@ -98,13 +98,14 @@
   fixture.call(1);
   DirectActions queried = fixture.end(1, AttemptEnd::Full);
   std::set<EndpointId> all;
-  while (const auto *it = find<AskEndpoint>(queried)) {
+  while (const auto *it = find<QueryEndpoint>(queried)) {
     REQUIRE(all.insert(it->Endpoint.Id).second);
-    queried = fixture.Node.onTold(it->Endpoint.Id, std::nullopt, fixture.Now);
+    queried =
+        fixture.Node.onStatusReport(it->Endpoint.Id, std::nullopt, fixture.Now);
   }
   CHECK(all.size() == 3);
-  fixture.Now += EndpointBook::QueryTimeout;
-  CHECK(countOf<AskEndpoint>(fixture.Node.onTimer(fixture.Now)) == 1);
+  fixture.Now += EndpointTable::QueryTimeout;
+  CHECK(countOf<QueryEndpoint>(fixture.Node.onTimer(fixture.Now)) == 1);
 }
 
 TEST_CASE("the rate of status queries to a closed group does not grow with the "
@@ -116,10 +117,10 @@
     for (int i = 1; i < entries; ++i)
       fixture.Node.setPeerLoad("n" + std::to_string(i), {}, fixture.Now);
     fixture.respond(fixture.Node.onTimer(fixture.Now), false);
-    fixture.Now += (intervals - 1) * EndpointBook::QueryInterval;
-    CHECK(countOf<AskEndpoint>(fixture.Node.onTimer(fixture.Now)) == 0);
-    fixture.Now += EndpointBook::QueryInterval;
-    CHECK(countOf<AskEndpoint>(fixture.Node.onTimer(fixture.Now)) == 1);
+    fixture.Now += (intervals - 1) * EndpointTable::QueryInterval;
+    CHECK(countOf<QueryEndpoint>(fixture.Node.onTimer(fixture.Now)) == 0);
+    fixture.Now += EndpointTable::QueryInterval;
+    CHECK(countOf<QueryEndpoint>(fixture.Node.onTimer(fixture.Now)) == 1);
   }
 }
 
@@ -166,7 +167,7 @@
   DirectActions next = fixture.end(1, AttemptEnd::BrokeOff);
   // In addition, the slow ranks may be queried for their slowdown factors.
   REQUIRE(countOf<StartAttempt>(next) == 1);
-  CHECK(countOf<StartAttempt>(next) + countOf<AskEndpoint>(next) ==
+  CHECK(countOf<StartAttempt>(next) + countOf<QueryEndpoint>(next) ==
         next.size());
   const auto *start = find<StartAttempt>(next);
   CHECK(start->Endpoint.Id.get().substr(0, 1) == healthy);
@@ -182,10 +183,10 @@
   for (unsigned i = 0; i < 4; ++i) {
     fixture.Now += milliseconds(300);
     for (const DirectAction &it : fixture.Node.onEvents(CallId(1), fixture.Now))
-      if (const auto *query = std::get_if<AskEndpoint>(&it))
+      if (const auto *query = std::get_if<QueryEndpoint>(&it))
         queried.push_back(query->Endpoint.Id);
     for (const DirectAction &it : fixture.Node.onTimer(fixture.Now))
-      if (const auto *query = std::get_if<AskEndpoint>(&it))
+      if (const auto *query = std::get_if<QueryEndpoint>(&it))
         queried.push_back(query->Endpoint.Id);
   }
   REQUIRE_FALSE(queried.empty());
@@ -194,12 +195,12 @@
   // One rank of the group reports that it is slow; its usable slots are reduced
   // by the same factor.
   EndpointId rank = queried.back();
-  EndpointCondition condition{GroupId(slow), true, 1, 4.0};
-  fixture.Node.onTold(rank, condition, fixture.Now);
-  const EndpointState *state = fixture.Node.book().find(rank);
-  CHECK(EndpointBook::slowdownOf(*state, fixture.Now) == 4.0);
-  CHECK(EndpointBook::slowdownOf(
-            *state, fixture.Now + 2 * EndpointBook::SlowdownInterval) == 1.0);
+  EndpointStatus status{GroupId(slow), true, 1, 4.0};
+  fixture.Node.onStatusReport(rank, status, fixture.Now);
+  const EndpointState *state = fixture.Node.endpointTable().find(rank);
+  CHECK(EndpointTable::slowdownOf(*state, fixture.Now) == 4.0);
+  CHECK(EndpointTable::slowdownOf(
+            *state, fixture.Now + 2 * EndpointTable::SlowdownInterval) == 1.0);
 }
 
 TEST_CASE("a group with only stalled streams gets no new requests") {
@@ -215,7 +216,7 @@
   CHECK(fixture.start(3) != stalled);
   CHECK(fixture.start(4) != stalled);
   // The observed gap decays once no stream is left in the group.
-  fixture.Node.onCallGone(CallId(1), fixture.Now);
+  fixture.Node.onCallClosed(CallId(1), fixture.Now);
   for (unsigned i = 0; i < 160; ++i) {
     fixture.Now += milliseconds(50);
     fixture.Node.onEvents(CallId(2), fixture.Now);
--- a/unittests/Direct/DirectNodeTest.cpp
+++ b/unittests/Direct/DirectNodeTest.cpp
@@ -29,7 +29,7 @@
   auto silenceOf = [&](std::uint64_t id) {
     DirectActions actions = fixture.call(id);
     REQUIRE(only<StartAttempt>(actions));
-    return only<StartAttempt>(actions)->Silence;
+    return only<StartAttempt>(actions)->MaxIdleTime;
   };
   auto respondAfter = [&](std::uint64_t id, Duration time) {
     fixture.Now += time;
@@ -101,8 +101,8 @@
   NodeFixture fixture(6, makeRoute(RequestKind::OnceOnly, 1));
   REQUIRE(only<StartAttempt>(fixture.call(1)));
   for (int i = 0; i < 3; ++i)
-    REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::OtherEndpoint)));
-  DirectActions last = fixture.end(1, AttemptEnd::OtherEndpoint);
+    REQUIRE(only<StartAttempt>(fixture.end(1, AttemptEnd::OtherIncarnation)));
+  DirectActions last = fixture.end(1, AttemptEnd::OtherIncarnation);
   CHECK((describe(codeOf(last)).Kind == Outcome::NotRun));
 }
 
@@ -211,7 +211,7 @@
   REQUIRE(only<StartAttempt>(actions));
   CHECK(only<StartAttempt>(actions)->Endpoint.Id == EndpointId("e1"));
   fixture.Now += seconds(5);
-  CHECK(fixture.Node.book().livePeers(fixture.Now) == 0);
+  CHECK(fixture.Node.endpointTable().livePeers(fixture.Now) == 0);
 }
 
 TEST_CASE("retries stay within the entry's share of the budget") {
@@ -241,7 +241,7 @@
     failed += isFailing ? 1 : 0;
     fixture.Now += milliseconds(10);
     fixture.end(id, isFailing ? AttemptEnd::Failed : AttemptEnd::Complete);
-    fixture.Node.onCallGone(CallId(id), fixture.Now);
+    fixture.Node.onCallClosed(CallId(id), fixture.Now);
   }
   // It is tried again occasionally, as it may have recovered.
   CHECK(failed >= 2);
@@ -252,7 +252,7 @@
   NodeFixture fixture(1, makeRoute(RequestKind::OnceOnly, 1));
   REQUIRE(only<StartAttempt>(fixture.call(1)));
   fixture.end(1, AttemptEnd::Failed);
-  CHECK(fixture.Node.book().find(EndpointId("e0"))->SuspectUntil <=
+  CHECK(fixture.Node.endpointTable().find(EndpointId("e0"))->SuspectUntil <=
         fixture.Now);
 }
 
--- a/unittests/Direct/EndpointListTest.cpp
+++ b/unittests/Direct/EndpointListTest.cpp
@@ -6,7 +6,7 @@
 
 #include "ospreyspur/Direct/EndpointList.h"
 #include "ospreyspur/Direct/EndpointDocument.h"
-#include "ospreyspur/Direct/EventCutter.h"
+#include "ospreyspur/Direct/EventSplitter.h"
 
 #include <doctest/doctest.h>
 
@@ -63,11 +63,11 @@
     "an earlier incarnation is dropped as soon as the next one is listed") {
   TimePoint now{seconds(10)};
   EndpointRecord first = makeRecord("e0");
-  first.Life = EndpointLife(1700);
-  first.Id = makeEndpointId(first.Name, first.Life);
+  first.Incarnation = EndpointIncarnation(1700);
+  first.Id = makeEndpointId(first.Name, first.Incarnation);
   EndpointRecord second = first;
-  second.Life = EndpointLife(1701);
-  second.Id = makeEndpointId(second.Name, second.Life);
+  second.Incarnation = EndpointIncarnation(1701);
+  second.Id = makeEndpointId(second.Name, second.Incarnation);
   EndpointList list;
   list.replace({first}, now);
   list.replace({second}, now);
@@ -103,7 +103,7 @@
 TEST_CASE("the endpoint list survives conversion to a document and back") {
   std::vector<EndpointRecord> records = makeRecords(3);
   records[1].IsLeaving = true;
-  records[2].TellsState = true;
+  records[2].AnswersStatusQueries = true;
   Result<std::vector<EndpointRecord>> read =
       parseEndpoints(formatEndpoints(records));
   REQUIRE(read);
@@ -117,12 +117,12 @@
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\nda";
   for (std::size_t size = 1; size <= text.size(); ++size) {
     INFO("pieces of " << size);
-    EventCutter cutter;
+    EventSplitter splitter;
     std::string out;
     for (std::size_t at = 0; at < text.size(); at += size)
-      out += cutter.add(text.substr(at, size));
+      out += splitter.add(text.substr(at, size));
     CHECK(out == "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n");
-    CHECK(cutter.lastId() == "2");
-    CHECK(cutter.hasRest());
+    CHECK(splitter.lastId() == "2");
+    CHECK(splitter.hasIncompleteEvent());
   }
 }
--- a/unittests/Direct/ManyEntriesTest.cpp
+++ b/unittests/Direct/ManyEntriesTest.cpp
@@ -29,9 +29,9 @@
     auto config = std::make_shared<FleetConfig>();
     Route.Services = {{ServiceId("s"), 1}};
     config->Routes.push_back(Route);
-    EngineFigures engine;
+    EngineCosts engine;
     engine.StepPerRequest = milliseconds(1);
-    engine.ReadTokensPerSecond = 70000;
+    engine.PrefillTokensPerSecond = 70000;
     config->Services.emplace(ServiceId("s"),
                              ServiceRule{ServiceId("s"), 100, engine});
     Config = std::move(config);
@@ -97,7 +97,8 @@
 
   /// Reports the entry's load to the others, as LoadExchange does.
   void report(unsigned entry) {
-    std::vector<EndpointLoad> loads = Nodes[entry]->book().ownLoads(Time.now());
+    std::vector<EndpointLoad> loads =
+        Nodes[entry]->endpointTable().ownLoads(Time.now());
     at(milliseconds(4), [this, entry, loads] {
       for (unsigned i = 0; i < Nodes.size(); ++i)
         if (i != entry)
@@ -139,17 +140,17 @@
     EndpointRecord it;
     it.Id = EndpointId("e" + std::to_string(i));
     it.Service = ServiceId("s");
-    it.TellsState = true;
+    it.AnswersStatusQueries = true;
     listed.push_back({it, false});
   }
-  std::vector<EndpointBook> books(Entries);
+  std::vector<EndpointTable> books(Entries);
   std::mt19937_64 random(1);
   TimePoint now{seconds(100)};
-  EndpointCondition slow{GroupId("g"), true, 0, 4.0};
-  for (EndpointBook &it : books) {
+  EndpointStatus slow{GroupId("g"), true, 0, 4.0};
+  for (EndpointTable &it : books) {
     it.setEndpoints(listed);
     for (const ListedEndpoint &row : listed)
-      it.onTold(row.Record.Id, slow, now);
+      it.onStatusReport(row.Record.Id, slow, now);
     it.onStarted(listed.front().Record.Id, 0);
     it.onFirstByte(listed.front().Record.Id, 0, now);
     it.onEvents(listed.front().Record.Id, milliseconds(500), now);
@@ -157,12 +158,12 @@
   unsigned queries = 0;
   unsigned known = 0;
   for (unsigned tick = 0; tick < 100; ++tick, now += milliseconds(100)) {
-    for (EndpointBook &it : books) {
+    for (EndpointTable &it : books) {
       it.onEvents(listed.front().Record.Id, milliseconds(500), now);
       for (const EndpointRecord &query : it.takeSlowdownQueries(
                [](const EndpointState &) { return true; }, now, random)) {
         ++queries;
-        it.onTold(query.Id, slow, now);
+        it.onStatusReport(query.Id, slow, now);
       }
     }
     for (unsigned from = 0; from < Entries; ++from) {
@@ -172,7 +173,7 @@
           books[to].setPeerLoad("n" + std::to_string(from), loads, now);
     }
     for (const auto &[id, state] : books.back().states())
-      known += EndpointBook::slowdownOf(state, now) > 1 ? 1 : 0;
+      known += EndpointTable::slowdownOf(state, now) > 1 ? 1 : 0;
   }
   // In ten seconds, about one query per second and endpoint. If each entry
   // queried on its own, there would be 50,000.
--- a/unittests/Direct/NodeFixture.h
+++ b/unittests/Direct/NodeFixture.h
@@ -31,9 +31,9 @@
     auto config = std::make_shared<FleetConfig>();
     rule.Services = {{ServiceId("s"), 1}};
     config->Routes.push_back(std::move(rule));
-    EngineFigures engine;
+    EngineCosts engine;
     engine.StepPerRequest = std::chrono::milliseconds(1);
-    engine.ReadTokensPerSecond = 1000;
+    engine.PrefillTokensPerSecond = 1000;
     config->Services.emplace(ServiceId("s"),
                              ServiceRule{ServiceId("s"), 100, engine});
     Config = std::move(config);
--- a/unittests/Direct/PushbackPathsTest.cpp
+++ b/unittests/Direct/PushbackPathsTest.cpp
@@ -30,7 +30,7 @@
   Pushback rate;
   rate.RequestsPerSecond = 0.5;
   Pushback rest;
-  rest.Rest = seconds(2);
+  rest.Backoff = seconds(2);
   Pushback leaving;
   leaving.IsLeaving = true;
   return {{"rate", rate}, {"rest", rest}, {"leaving", leaving}};
@@ -73,11 +73,11 @@
     for (std::uint64_t id = 1; id <= 12; ++id)
       fixture.end(100 + id, AttemptEnd::Complete);
     EndpointId first = startedAt(fixture.call(1));
-    unsigned closed = first == idOf(1) ? 2 : 1;
-    pushBack(fixture, closed, it.Asked);
+    unsigned excluded = first == idOf(1) ? 2 : 1;
+    pushBack(fixture, excluded, it.Asked);
     DirectActions next = fixture.end(1, AttemptEnd::Failed);
     REQUIRE(find<StartAttempt>(next));
-    CHECK(startedAt(next) != idOf(closed));
+    CHECK(startedAt(next) != idOf(excluded));
   }
 }
 
@@ -118,12 +118,13 @@
   for (const PushbackCase &it : allPushbackCases()) {
     CAPTURE(it.Name);
     NodeFixture fixture(2);
-    CrashRow row;
-    row.Request = RequestDigest(7);
-    row.Crashes = {{LifeDigest(99), milliseconds(500), milliseconds(20)}};
-    row.Endpoints = 2;
-    row.SeenAge = milliseconds(500);
-    fixture.Node.onCrashReport("n", {{row}, {}}, fixture.Now);
+    CrashRecord record;
+    record.Request = RequestDigest(7);
+    record.Crashes = {
+        {IncarnationDigest(99), milliseconds(500), milliseconds(20)}};
+    record.Endpoints = 2;
+    record.SeenAge = milliseconds(500);
+    fixture.Node.onCrashReport("n", {{record}, {}}, fixture.Now);
     pushBack(fixture, 0, it.Asked);
     fixture.Now += milliseconds(400);
     fixture.Node.onTimer(fixture.Now);
@@ -132,11 +133,11 @@
     request.Config = fixture.Config;
     request.Route = &fixture.Config->Routes.front();
     request.TimeLeft = seconds(8);
-    request.Digest = row.Request;
+    request.Digest = record.Request;
     DirectActions actions =
         fixture.Node.onCall(std::move(request), fixture.Now);
-    bool isSuspect = fixture.Node.crashes().standingOf(row.Request) ==
-                     CrashStanding::Suspect;
+    bool isSuspect = fixture.Node.crashes().verdictOf(record.Request) ==
+                     CrashVerdict::Suspect;
     REQUIRE(isSuspect);
     CHECK(startedAt(actions) == idOf(1));
   }
@@ -170,16 +171,16 @@
     CAPTURE(it.Name);
     NodeFixture fixture(0);
     fixture.add("e0");
-    fixture.Listed.front().Record.TellsState = true;
+    fixture.Listed.front().Record.AnswersStatusQueries = true;
     fixture.Node.setEndpoints(fixture.Listed);
     pushBack(fixture, 0, it.Asked);
     for (unsigned i = 0; i < 10; ++i) {
-      CHECK(countOf<AskEndpoint>(fixture.Node.onTimer(fixture.Now)) == 0);
+      CHECK(countOf<QueryEndpoint>(fixture.Node.onTimer(fixture.Now)) == 0);
       fixture.Now += milliseconds(100);
     }
     bool isOver = !it.Asked.IsLeaving;
     fixture.Now += seconds(2);
-    CHECK(countOf<AskEndpoint>(fixture.Node.onTimer(fixture.Now)) == isOver);
+    CHECK(countOf<QueryEndpoint>(fixture.Node.onTimer(fixture.Now)) == isOver);
   }
 }
 
@@ -200,9 +201,9 @@
       DirectActions actions = fixture.call(id);
       REQUIRE(only<EndCall>(actions));
       const EndCall &end = *only<EndCall>(actions);
-      CHECK(end.Code == (asked.Rest ? ResultCode::EndpointsResting
-                                    : ResultCode::RateLimited));
-      CHECK(end.RetryAfter >= asked.Rest.value_or(milliseconds(150)));
+      CHECK(end.Code == (asked.Backoff ? ResultCode::EndpointsResting
+                                       : ResultCode::RateLimited));
+      CHECK(end.RetryAfter >= asked.Backoff.value_or(milliseconds(150)));
       CHECK(end.RetryAfter <= seconds(15));
       returns.insert(end.RetryAfter);
     }
@@ -217,7 +218,7 @@
   CHECK(fixture.call(3).empty());
   CHECK(fixture.Node.waitingCount() == 1);
   Pushback rest;
-  rest.Rest = seconds(5);
+  rest.Backoff = seconds(5);
   DirectActions actions =
       fixture.Node.onPushback(idOf(0), rest, fixture.Now, fixture.Now);
   CHECK(codeOf(actions) == ResultCode::EndpointsResting);
@@ -228,9 +229,9 @@
   NodeFixture fixture(1);
   fixture.call(1);
   Pushback rest;
-  rest.Rest = seconds(2);
+  rest.Backoff = seconds(2);
   pushBack(fixture, 0, rest);
-  rest.Rest = milliseconds(100);
+  rest.Backoff = milliseconds(100);
   pushBack(fixture, 0, rest);
   fixture.end(1, AttemptEnd::Complete);
   fixture.Now += milliseconds(1900);
@@ -267,7 +268,7 @@
   // Datagrams may be lost, so the incarnation is in three reports.
   CHECK(sender.Node.takeLeavingReport().size() == 1);
   CHECK(sender.Node.takeLeavingReport().size() == 1);
-  std::vector<LifeDigest> reported = sender.Node.takeLeavingReport();
+  std::vector<IncarnationDigest> reported = sender.Node.takeLeavingReport();
   REQUIRE(reported.size() == 1);
   CHECK(sender.Node.takeLeavingReport().empty());
   receiver.Node.onLeaving(reported, receiver.Now);
--- a/unittests/Direct/ReplacedEndpointTest.cpp
+++ b/unittests/Direct/ReplacedEndpointTest.cpp
@@ -23,7 +23,7 @@
   DirectActions first = fixture.call(1);
   REQUIRE(only<StartAttempt>(first));
   EndpointId id = only<StartAttempt>(first)->Endpoint.Id;
-  fixture.end(1, AttemptEnd::OtherEndpoint);
+  fixture.end(1, AttemptEnd::OtherIncarnation);
   return id;
 }
 
@@ -62,5 +62,5 @@
   unsigned reported = 0;
   for (unsigned i = 0; i < 10; ++i)
     reported += finder.Node.takeReplacedReport().size();
-  CHECK(reported == EndpointBook::ReplacedReports);
+  CHECK(reported == EndpointTable::ReplacedReports);
 }
--- a/unittests/Direct/SharedRetryBudgetTest.cpp
+++ b/unittests/Direct/SharedRetryBudgetTest.cpp
@@ -69,7 +69,7 @@
   }
   /// Kills the entry; a new incarnation of it starts later.
   void kill(unsigned i) {
-    ++Nodes[i].Life;
+    ++Nodes[i].Incarnation;
     Nodes[i].Node.reset();
     Time.at(Time.now() + milliseconds(300), [this, i] {
       if (!Nodes[i].Node)
@@ -81,17 +81,17 @@
   /// Returns the largest excess of retries in a window over what all entries
   /// together may send.
   double worstExcess() const {
-    const RetryBounds bounds;
+    const RetryLimits limits;
     auto countIn = [](const std::vector<TimePoint> &times, TimePoint from,
                       TimePoint until) {
       return double(std::upper_bound(times.begin(), times.end(), until) -
                     std::upper_bound(times.begin(), times.end(), from));
     };
-    double worst = -bounds.Allowance;
+    double worst = -limits.Allowance;
     for (TimePoint at : RetryTimes) {
-      TimePoint from = at - bounds.Window;
+      TimePoint from = at - limits.Window;
       double allowed =
-          bounds.Ratio * countIn(RequestTimes, from, at) + bounds.Allowance;
+          limits.Ratio * countIn(RequestTimes, from, at) + limits.Allowance;
       worst = std::max(worst, countIn(RetryTimes, from, at) - allowed);
     }
     return worst;
@@ -100,18 +100,18 @@
 private:
   struct Entry {
     std::unique_ptr<DirectNode> Node;
-    unsigned Life = 0;
+    unsigned Incarnation = 0;
     TimePoint FrozenUntil;
   };
 
   void start(unsigned i) {
     Nodes[i].Node = std::make_unique<DirectNode>(
         DataCentreId("a"), DirectLimits(), Time.below(1U << 30U));
-    Nodes[i].Node->beginLife(Time.now());
+    Nodes[i].Node->onProcessStarted(Time.now());
     Nodes[i].Node->setEndpoints(Listed);
     if (Time.now() >= StoreOutUntil)
       list(i);
-    report(i, Nodes[i].Life);
+    report(i, Nodes[i].Incarnation);
   }
 
   void list(unsigned i) {
@@ -124,11 +124,12 @@
 
   bool isAwake(unsigned i, unsigned incarnation) const {
     const Entry &it = Nodes[i];
-    return it.Node && it.Life == incarnation && Time.now() >= it.FrozenUntil;
+    return it.Node && it.Incarnation == incarnation &&
+           Time.now() >= it.FrozenUntil;
   }
 
   void report(unsigned i, unsigned incarnation) {
-    if (Nodes[i].Life != incarnation)
+    if (Nodes[i].Incarnation != incarnation)
       return;
     Time.at(Time.now() + milliseconds(200),
             [this, i, incarnation] { report(i, incarnation); });
@@ -136,8 +137,8 @@
       return;
     for (unsigned k = 0; k < Entries; ++k)
       if (k != i)
-        Time.soon([this, i, k] {
-          if (isAwake(k, Nodes[k].Life))
+        Time.runSoon([this, i, k] {
+          if (isAwake(k, Nodes[k].Incarnation))
             Nodes[k].Node->setPeerLoad("n" + std::to_string(i), {}, Time.now());
         });
   }
@@ -147,7 +148,7 @@
     Time.at(Time.now() + Duration(Time.below(2 * interval.count())),
             [this] { arrive(); });
     auto i = unsigned(Time.below(Entries));
-    if (!isAwake(i, Nodes[i].Life))
+    if (!isAwake(i, Nodes[i].Incarnation))
       return;
     RequestTimes.push_back(Time.now());
     DirectRequest request;
@@ -165,13 +166,13 @@
         continue;
       if (!Arrived.insert(started->Call).second)
         RetryTimes.push_back(Time.now());
-      lose(i, Nodes[i].Life, started->Call);
+      lose(i, Nodes[i].Incarnation, started->Call);
     }
   }
 
   void lose(unsigned i, unsigned incarnation, CallId id) {
     Time.at(Time.now() + milliseconds(2), [this, i, incarnation, id] {
-      if (Nodes[i].Life != incarnation)
+      if (Nodes[i].Incarnation != incarnation)
         return;
       if (!isAwake(i, incarnation)) {
         lose(i, incarnation, id);
--- a/unittests/Direct/SilentStreamTest.cpp
+++ b/unittests/Direct/SilentStreamTest.cpp
@@ -32,7 +32,7 @@
 public:
   StreamFixture() {
     auto config = std::make_shared<FleetConfig>(*Config);
-    config->Services.at(ServiceId("s")).Engine->UsualAnswer = 600;
+    config->Services.at(ServiceId("s")).Engine->TypicalOutputTokens = 600;
     Config = std::move(config);
   }
 
@@ -100,8 +100,9 @@
   CHECK(fixture.write(DirectLimits().MinSilence, isSilent).empty());
   fixture.end(Silent, AttemptEnd::BrokeOff);
   // The other streams of its group received events all the time.
-  for (const auto &[id, state] : fixture.Node.book().states())
-    CHECK(fixture.Node.book().gapOf(state, fixture.Now) < 2 * UsualGap);
+  for (const auto &[id, state] : fixture.Node.endpointTable().states())
+    CHECK(fixture.Node.endpointTable().gapOf(state, fixture.Now) <
+          2 * UsualGap);
   CHECK(fixture.write(seconds(1), isSilent).empty());
 }
 
@@ -180,7 +181,7 @@
   }
 
   unsigned ownAt(const EndpointId &id) const {
-    return Node.book().find(id)->OwnRequests;
+    return Node.endpointTable().find(id)->OwnRequests;
   }
   /// Returns the endpoint that the stream did not start at; there must be two.
   EndpointId other() const {
@@ -196,7 +197,7 @@
   SilentStreamFixture fixture(2);
   DirectActions stop = fixture.Node.onSilent(CallId(1), fixture.Now);
   REQUIRE(only<StopAttempt>(stop));
-  CHECK((only<StopAttempt>(stop)->Reason == MoveReason::Silent));
+  CHECK((only<StopAttempt>(stop)->Reason == MigrationReason::Silent));
   CHECK(fixture.ownAt(fixture.other()) == 1);
   // The stream is stopped only once.
   CHECK(fixture.Node.onSilent(CallId(1), fixture.Now).empty());
@@ -219,9 +220,9 @@
   }
   REQUIRE(others.size() == 2);
   CHECK(fixture.Node.onSilent(CallId(1), fixture.Now).empty());
-  std::vector<WaitNote> notes = fixture.Node.takeWaitNotes();
-  REQUIRE(notes.size() == 1);
-  CHECK(notes.front().IsSilent);
+  std::vector<WaitLogRecord> records = fixture.Node.takeWaitLogRecords();
+  REQUIRE(records.size() == 1);
+  CHECK(records.front().IsSilent);
   SUBCASE("a stream that resumes does not take the free slot") {
     fixture.Node.onEvents(CallId(1), fixture.Now);
     CHECK(fixture.end(others.front(), AttemptEnd::Complete).empty());
@@ -240,7 +241,7 @@
     CHECK(fixture.end(1, AttemptEnd::Complete).empty());
   }
   SUBCASE("its caller hangs up") {
-    fixture.Node.onCallGone(CallId(1), fixture.Now);
+    fixture.Node.onCallClosed(CallId(1), fixture.Now);
   }
   SUBCASE("the endpoint starts draining") {
     for (ListedEndpoint &it : fixture.Listed)
@@ -256,11 +257,13 @@
   SilentStreamFixture fixture(3);
   DirectActions stop = fixture.Node.onSilent(CallId(1), fixture.Now);
   REQUIRE(only<StopAttempt>(stop));
-  TimePoint suspect = fixture.Node.book().find(fixture.Origin)->SuspectUntil;
-  CHECK(suspect == fixture.Now + EndpointBook::FirstSuspicion);
+  TimePoint suspect =
+      fixture.Node.endpointTable().find(fixture.Origin)->SuspectUntil;
+  CHECK(suspect == fixture.Now + EndpointTable::FirstSuspicion);
   fixture.Now += milliseconds(100);
   fixture.end(1, AttemptEnd::BrokeOff);
-  CHECK(fixture.Node.book().find(fixture.Origin)->SuspectUntil == suspect);
+  CHECK(fixture.Node.endpointTable().find(fixture.Origin)->SuspectUntil ==
+        suspect);
 }
 
 TEST_CASE("a stopped slow stream does not count as a failure of its endpoint") {
@@ -271,7 +274,7 @@
   for (CallId it : stopped)
     REQUIRE(countOf<StartAttempt>(
                 fixture.end(it.get(), AttemptEnd::BrokeOff)) == 1);
-  for (const auto &[id, state] : fixture.Node.book().states())
+  for (const auto &[id, state] : fixture.Node.endpointTable().states())
     CHECK(state.SuspectUntil == TimePoint());
 }
 
@@ -283,12 +286,13 @@
     REQUIRE(only<StartAttempt>(next));
     bool isAtOther = only<StartAttempt>(next)->Endpoint.Id == fixture.other();
     fixture.end(id, isAtOther ? AttemptEnd::Failed : AttemptEnd::Complete);
-    fixture.Node.onCallGone(CallId(id), fixture.Now);
+    fixture.Node.onCallClosed(CallId(id), fixture.Now);
   }
-  REQUIRE(fixture.Node.book().find(fixture.other())->SuspectUntil >
+  REQUIRE(fixture.Node.endpointTable().find(fixture.other())->SuspectUntil >
           fixture.Now);
   CHECK(fixture.Node.onSilent(CallId(1), fixture.Now).empty());
-  fixture.Now = fixture.Node.book().find(fixture.other())->SuspectUntil;
+  fixture.Now =
+      fixture.Node.endpointTable().find(fixture.other())->SuspectUntil;
   CHECK(only<StopAttempt>(fixture.Node.onSilent(CallId(1), fixture.Now)));
 }
 
--- a/unittests/Direct/TwoGroupFixture.h
+++ b/unittests/Direct/TwoGroupFixture.h
@@ -20,20 +20,20 @@
   TwoGroupFixture()
       : NodeFixture(0, makeRoute(RequestKind::Stream, 2, true), Seed) {
     auto config = std::make_shared<FleetConfig>(*Config);
-    EngineFigures &engine = *config->Services.at(ServiceId("s")).Engine;
-    engine.UsualAnswer = 160;
-    engine.StepsPerPass = 6;
+    EngineCosts &engine = *config->Services.at(ServiceId("s")).Engine;
+    engine.TypicalOutputTokens = 160;
+    engine.StepsPerIteration = 6;
     Config = std::move(config);
     for (const char *id : {"a0", "a1", "b0", "b1"}) {
       add(id);
-      Listed.back().Record.TellsState = true;
+      Listed.back().Record.AnswersStatusQueries = true;
       Listed.back().Record.Slots = 4;
     }
     Node.setEndpoints(Listed);
     for (const DirectAction &it : Node.onTimer(Now)) {
-      const EndpointId &id = std::get<AskEndpoint>(it).Endpoint.Id;
-      EndpointCondition condition{GroupId(id.get().substr(0, 1)), true, 0};
-      Node.onTold(id, condition, Now);
+      const EndpointId &id = std::get<QueryEndpoint>(it).Endpoint.Id;
+      EndpointStatus status{GroupId(id.get().substr(0, 1)), true, 0};
+      Node.onStatusReport(id, status, Now);
     }
   }
 
--- a/unittests/Experts/ChangeBudgetTest.cpp
+++ b/unittests/Experts/ChangeBudgetTest.cpp
@@ -136,13 +136,13 @@
   constexpr double LinkBytesPerSecond = 6e6 / 8;
   SampleLimits limits;
   limits.BytesPerSecond = LinkBytesPerSecond * 0.2;
-  limits.MostBytesPerSecond = LinkBytesPerSecond * 0.5;
+  limits.MaxBytesPerSecond = LinkBytesPerSecond * 0.5;
   DemandSampler sampler(limits);
   Duration large = sampler.interval(Ranks, Sets * Experts);
   CHECK(large <= milliseconds(800));
   double bytes = double(Ranks * Sets * Experts);
   double seconds = std::chrono::duration<double>(large).count();
-  CHECK(bytes / seconds <= limits.MostBytesPerSecond * 1.01);
+  CHECK(bytes / seconds <= limits.MaxBytesPerSecond * 1.01);
   // Groups that are sampled often enough use no more than the normal share of
   // the link.
   CHECK(sampler.interval(24, std::size_t(16) * 96) ==
--- a/unittests/Experts/DemandMeterTest.cpp
+++ b/unittests/Experts/DemandMeterTest.cpp
@@ -127,10 +127,10 @@
     MeteredGroup group(seed);
     group.run(seconds(3), 6);
     for (int shift = 0; shift < 5; ++shift) {
-      std::uint64_t before = group.Meter.changes();
+      std::uint64_t before = group.Meter.shifts();
       group.Streams.shift();
       group.run(milliseconds(150), 6);
-      CHECK(group.Meter.changes() > before);
+      CHECK(group.Meter.shifts() > before);
       group.run(milliseconds(200), 6);
       CHECK(group.Meter.isSettled(group.Now));
       // A sum with a half-life of 0.4 s would still contain half of the old
@@ -149,7 +149,7 @@
       INFO("seed " << seed << ", " << streams << " streams");
       MeteredGroup group(seed);
       group.run(seconds(20), streams);
-      CHECK(group.Meter.changes() == 0);
+      CHECK(group.Meter.shifts() == 0);
     }
 }
 
@@ -157,7 +157,7 @@
   MeteredGroup group(1);
   group.run(seconds(3), 6);
   group.Streams.shift();
-  while (group.Meter.changes() == 0)
+  while (group.Meter.shifts() == 0)
     group.run(milliseconds(10), 6);
   CHECK_FALSE(group.Meter.isSettled(group.Now - milliseconds(10)));
   // If no more samples arrive, the plan is not delayed indefinitely.
--- a/unittests/Experts/ReachPlannerTest.cpp
+++ b/unittests/Experts/DirectReadPlannerTest.cpp
@@ -1,11 +1,11 @@
-//===- ReachPlannerTest.cpp - direct reads of silent agents' ranks --------===//
+//===- DirectReadPlannerTest.cpp - direct reads of silent agents' ranks ---===//
 //
 // The coordinator bypasses a few silent agents; a congested link of its own
 // must not make it query the whole fleet.
 //
 //===----------------------------------------------------------------------===//
 
-#include "ospreyspur/Experts/ReachPlanner.h"
+#include "ospreyspur/Experts/DirectReadPlanner.h"
 
 #include <doctest/doctest.h>
 
@@ -28,7 +28,7 @@
   void reportAllBut(const std::set<unsigned> &silent) {
     for (unsigned rank = 0; rank < Size; ++rank)
       if (!silent.contains(rank))
-        Planner.onHeard(rank, addressOf(rank), Now);
+        Planner.onAgentReport(rank, addressOf(rank), Now);
   }
 
   /// The reads during \p length while all agents but those of \p silent report.
@@ -44,7 +44,7 @@
   }
 
   unsigned Size;
-  ReachPlanner Planner;
+  DirectReadPlanner Planner;
   TimePoint Now{seconds(100)};
 };
 
@@ -75,7 +75,7 @@
   simulation.reportAllBut({});
   auto reads = simulation.collectReads(seconds(10), firstRanks(96));
   CHECK(reads.empty());
-  CHECK_FALSE(simulation.Planner.takeListQuestion(96, simulation.Now));
+  CHECK_FALSE(simulation.Planner.takeListQuery(96, simulation.Now));
 }
 
 TEST_CASE("a new coordinator reads a limited number of ranks per round") {
@@ -101,9 +101,9 @@
   simulation.Now += seconds(1);
   simulation.reportAllBut({7});
   CHECK(simulation.Planner.take(8, simulation.Now).empty());
-  CHECK(simulation.Planner.takeListQuestion(8, simulation.Now));
-  CHECK_FALSE(simulation.Planner.takeListQuestion(8, simulation.Now +
-                                                         milliseconds(200)));
+  CHECK(simulation.Planner.takeListQuery(8, simulation.Now));
+  CHECK_FALSE(
+      simulation.Planner.takeListQuery(8, simulation.Now + milliseconds(200)));
   std::vector<TcpAddress> listed;
   for (unsigned n = 0; n < 16; ++n)
     listed.push_back(DirectReadSimulation::addressOf(n));
@@ -112,7 +112,7 @@
   CHECK(reads.size() == 9);
   // Addresses of the other group are not queried again.
   for (unsigned n = 8; n < 16; ++n)
-    simulation.Planner.onOther(DirectReadSimulation::addressOf(n));
+    simulation.Planner.onForeignAddress(DirectReadSimulation::addressOf(n));
   simulation.Now += seconds(1);
   simulation.reportAllBut({7});
   CHECK(simulation.Planner.take(8, simulation.Now) ==
--- a/unittests/Experts/ExpertPlannerTest.cpp
+++ b/unittests/Experts/ExpertPlannerTest.cpp
@@ -80,7 +80,7 @@
 
 template <typename Plan>
 static RunTotals runDrift(Drift drift, std::uint64_t seed, Plan plan) {
-  ExpertMap map = makeDealtMap(Shape);
+  ExpertMap map = makeRoundRobinMap(Shape);
   RunTotals totals;
   for (unsigned round = 0; round < Rounds; ++round) {
     ExpertDemand demand = drawDemand(drift, round, seed);
@@ -132,7 +132,7 @@
 }
 
 TEST_CASE("a balanced demand causes no moves") {
-  ExpertMap map = makeDealtMap(Shape);
+  ExpertMap map = makeRoundRobinMap(Shape);
   ExpertDemand demand(Shape.Layers, std::vector<double>(Shape.Experts, 10));
   MapPlan plan = ExpertPlanner(PlannerWeights()).plan(map, demand);
   CHECK(plan.Moves == 0);
@@ -142,13 +142,13 @@
 TEST_CASE("a plan respects its budget of moves") {
   ExpertDemand demand = drawDemand(Drift::Steady, 0, 9);
   PlannerWeights weights{1.0, 0.0, 7, 0.0};
-  MapPlan plan = ExpertPlanner(weights).plan(makeDealtMap(Shape), demand);
+  MapPlan plan = ExpertPlanner(weights).plan(makeRoundRobinMap(Shape), demand);
   CHECK(plan.Moves > 0);
   CHECK(plan.Moves <= 7);
 }
 
 TEST_CASE("an encoded map is parsed back, and a malformed one is refused") {
-  ExpertMap map = makeDealtMap({2, 8, 4, 3});
+  ExpertMap map = makeRoundRobinMap({2, 8, 4, 3});
   Result<ExpertMap> back = parseMap(formatMap(map));
   REQUIRE(back.has_value());
   CHECK(back.value() == map);
--- a/unittests/Experts/LargeGroupTest.cpp
+++ b/unittests/Experts/LargeGroupTest.cpp
@@ -9,17 +9,17 @@
 
 #include "RandomScheduler.h"
 #include "ospreyspur/Experts/MapDelta.h"
+#include "ospreyspur/Experts/MapOrderQueue.h"
 #include "ospreyspur/Experts/MapSwitch.h"
-#include "ospreyspur/Experts/OrderLane.h"
 #include "ospreyspur/Rpc/Codec.h"
-#include "standin/PlatformGroup.h"
+#include "standin/FakeRankGroup.h"
 
 #include <doctest/doctest.h>
 
 #include <memory>
 
 using namespace ospreyspur;
-using standin::PlatformGroup;
+using standin::FakeRankGroup;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -70,7 +70,7 @@
   /// Ends all faults.
   void endFaults() { ActiveFaults = {}; }
 
-  PlatformGroup &group() { return Group; }
+  FakeRankGroup &group() { return Group; }
   unsigned changes() const { return Changes; }
   /// Time from the start to the first change.
   Duration firstChange() const { return FirstChange; }
@@ -83,7 +83,7 @@
     explicit Coordinator(unsigned own) : Own(own) {}
     unsigned Own;
     MapSwitch Switch{SwitchLimits()};
-    OrderLane Lane{LinkBytesPerSecond * MapShare};
+    MapOrderQueue Queue{LinkBytesPerSecond * MapShare};
     SentMaps Sent;
     TimePoint LinkFreeAt;
     std::optional<TimePoint> WakeAt;
@@ -163,12 +163,12 @@
 
   void act(const Owner &from, const SwitchActions &actions) {
     for (const SendMapOrder &it : actions) {
-      if (it.Rank != from->Own && OrderLane::mustWait(it.Order)) {
-        from->Lane.push(it);
+      if (it.Rank != from->Own && MapOrderQueue::mustWait(it.Order)) {
+        from->Queue.push(it);
         from->Switch.onQueued(it.Rank, it.Order.Id);
         continue;
       }
-      from->Lane.drop(it.Rank);
+      from->Queue.drop(it.Rank);
       transmit(from, it.Rank, it.Order);
     }
     sendMaps(from);
@@ -176,16 +176,16 @@
 
   void sendMaps(const Owner &from) {
     TimePoint now = Time.now();
-    while (std::optional<SendMapOrder> next = from->Lane.pop(now)) {
+    while (std::optional<SendMapOrder> next = from->Queue.pop(now)) {
       if (!from->Switch.isPending(next->Rank, next->Order.Id))
         continue;
       from->Switch.onSent(next->Rank, next->Order.Id, now);
       MapOrder order =
           from->Sent.shorten(next->Rank, LinkId(1), next->Order, next->Tries);
-      from->Lane.onSent(sizeOf(order), now);
-      transmit(from, next->Rank, next->Order, sizeOf(order));
+      from->Queue.onSent(encodedSize(order), now);
+      transmit(from, next->Rank, next->Order, encodedSize(order));
     }
-    std::optional<TimePoint> due = from->Lane.nextTimer();
+    std::optional<TimePoint> due = from->Queue.nextTimer();
     if (!due || (from->WakeAt && *from->WakeAt <= *due))
       return;
     from->WakeAt = due;
@@ -228,7 +228,7 @@
   test::RandomScheduler Time;
   unsigned Size;
   Faults ActiveFaults;
-  PlatformGroup Group;
+  FakeRankGroup Group;
   std::vector<TimePoint> FrozenUntil;
   std::uint64_t Lease = 0;
   std::vector<Owner> All;
--- a/unittests/Experts/LeaseHolderTest.cpp
+++ b/unittests/Experts/LeaseHolderTest.cpp
@@ -5,7 +5,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "standin/RankModel.h"
+#include "standin/FakeRank.h"
 
 #include "ospreyspur/Experts/GroupMember.h"
 #include "ospreyspur/Experts/LeaseHolder.h"
@@ -36,7 +36,7 @@
 
 TEST_CASE("a restarted holder takes over its own lease at once") {
   LeaseLimits limits;
-  limits.TakesOwn = true;
+  limits.TakesOverOwnLease = true;
   LeaseHolder holder("k", "a", limits);
   REQUIRE(std::holds_alternative<KvGet>(*holder.nextCall(Start)));
   holder.onReply({ResultCode::Ok, Revision(3), "a"}, Start);
@@ -97,7 +97,7 @@
 
 TEST_CASE("the store's confirmation of a lease ends with the lease's span") {
   LeaseLimits limits;
-  limits.OutlastsOutage = true;
+  limits.ActsDuringOutage = true;
   LeaseHolder holder("k", "a", limits);
   acquire(holder, Start);
   TimePoint end = Start + limits.Span - limits.Margin;
@@ -108,7 +108,7 @@
 }
 
 /// Passes \p order to the member and lets \p rank answer its engine orders.
-static GroupReply exchange(GroupMember &member, standin::RankModel &rank,
+static GroupReply exchange(GroupMember &member, standin::FakeRank &rank,
                            const GroupOrder &order) {
   GroupReply last;
   GroupActions actions = member.onOrder(order, Start);
@@ -125,7 +125,7 @@
 
 TEST_CASE("the agent refuses orders of an earlier epoch") {
   // The engine checks no epoch, so the agent must.
-  standin::RankModel rank(false);
+  standin::FakeRank rank(false);
   GroupMember member(GroupId("g"), EndpointId("a"), MemberLimits());
   GroupActions begun = member.start(Start);
   auto &report = std::get<OrderRank>(begun.at(0));
@@ -157,7 +157,7 @@
 TEST_CASE("during an outage a holder acts on only if its orders are fenced") {
   for (bool outlasts : {false, true}) {
     LeaseLimits limits;
-    limits.OutlastsOutage = outlasts;
+    limits.ActsDuringOutage = outlasts;
     LeaseHolder holder("k", "a", limits);
     acquire(holder, Start);
     TimePoint late = Start + seconds(30);
@@ -221,7 +221,7 @@
   for (std::uint64_t found : {7U, 8U}) {
     LeaseHolder holder("k", "a", LeaseLimits());
     acquire(holder, Start);
-    holder.doubt(Start + seconds(1));
+    holder.suspend(Start + seconds(1));
     CHECK_FALSE(holder.isHeld(Start + seconds(1)));
     REQUIRE(holder.nextCall(Start + seconds(1)));
     holder.onReply({ResultCode::Ok, Revision(found), "a"}, Start + seconds(1));
--- a/unittests/Experts/MapDeltaTest.cpp
+++ b/unittests/Experts/MapDeltaTest.cpp
@@ -85,7 +85,7 @@
   std::optional<Message> read = decode(bytes);
   REQUIRE(read);
   auto decoded = std::get<MapOrder>(*read);
-  REQUIRE(ToldMap().complete(decoded));
+  REQUIRE(ReceivedMap().complete(decoded));
   CHECK(*decoded.Map == map);
   // A map that differs too much from the initial map is sent whole.
   for (auto &rank : map)
@@ -97,9 +97,10 @@
 TEST_CASE("an initial map of an impossible shape is not decoded") {
   MapOrder order = prepare(1, {});
   order.Map = nullptr;
-  for (DealtShape it :
-       {DealtShape{0, 1, 1}, DealtShape{8, 4000, 4000}, DealtShape{8, 1, 5000},
-        DealtShape{4000, 4000, 1}, DealtShape{5000, 1, 1}}) {
+  for (InitialMapShape it :
+       {InitialMapShape{0, 1, 1}, InitialMapShape{8, 4000, 4000},
+        InitialMapShape{8, 1, 5000}, InitialMapShape{4000, 4000, 1},
+        InitialMapShape{5000, 1, 1}}) {
     order.Delta = MapDelta{MapVersion(), {}, it};
     wire::Message bytes;
     encode(order, bytes);
@@ -143,7 +144,7 @@
   std::mt19937 random(1);
   GroupPlacement map = makeMap();
   SentMaps sent;
-  ToldMap receiver;
+  ReceivedMap receiver;
   std::uint64_t link = 1;
   for (std::uint64_t version = 1; version <= 300; ++version) {
     for (unsigned i = 0; i < random() % 40; ++i)
@@ -166,7 +167,7 @@
     CHECK(isRestored);
     // The agent may restart between two changes.
     if (random() % 20 == 0) {
-      receiver = ToldMap();
+      receiver = ReceivedMap();
       link += random() % 2;
     }
   }
@@ -186,7 +187,7 @@
 }
 
 TEST_CASE("differences from an unknown map are refused") {
-  ToldMap receiver;
+  ReceivedMap receiver;
   MapOrder order;
   order.Kind = MapOrderKind::Prepare;
   order.Version = MapVersion(5);
--- a/unittests/Experts/MapSwitchTest.cpp
+++ b/unittests/Experts/MapSwitchTest.cpp
@@ -8,7 +8,7 @@
 
 #include "ospreyspur/Experts/MapSwitch.h"
 #include "RandomScheduler.h"
-#include "standin/PlatformGroup.h"
+#include "standin/FakeRankGroup.h"
 
 #include <doctest/doctest.h>
 
@@ -18,7 +18,7 @@
 #include <utility>
 
 using namespace ospreyspur;
-using standin::PlatformGroup;
+using standin::FakeRankGroup;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -53,7 +53,7 @@
 
   void run(Duration length) { Time.runUntil(Time.now() + length); }
 
-  PlatformGroup &group() { return Group; }
+  FakeRankGroup &group() { return Group; }
   unsigned changes() const { return Changes; }
   /// The longest time without a step.
   Duration longestStall() const { return LongestStall; }
@@ -226,7 +226,7 @@
 
   test::RandomScheduler Time;
   Faults ActiveFaults;
-  PlatformGroup Group;
+  FakeRankGroup Group;
   std::uint64_t Lease = 0;
   std::array<TimePoint, Size> LinkFreeAt{};
   std::vector<std::shared_ptr<Coordinator>> Coordinators;
@@ -382,7 +382,7 @@
   }
 
   MapSwitch Switch{SwitchLimits()};
-  PlatformGroup Group;
+  FakeRankGroup Group;
   TimePoint Now{seconds(100)};
   FencingToken LastFence;
 
@@ -417,7 +417,7 @@
   simulation.Switch.begin(GroupPlacement(2, {{1}}), simulation.Now);
   REQUIRE(simulation.Switch.phase() == SwitchPhase::Preparing);
   RankStatus restarted = simulation.Group.status(1, simulation.Now);
-  restarted.Life = RankLife(1701);
+  restarted.Incarnation = RankIncarnation(1701);
   restarted.Placement.clear();
   simulation.Switch.onStatus(1, restarted, simulation.Now, simulation.Now);
   CHECK(simulation.Switch.phase() != SwitchPhase::Preparing);
@@ -444,7 +444,7 @@
 TEST_CASE("the rank that is armed last is disarmed first") {
   constexpr unsigned Size = 3;
   constexpr unsigned Own = 1;
-  PlatformGroup group(Size, true);
+  FakeRankGroup group(Size, true);
   MapSwitch coordinator{SwitchLimits()};
   TimePoint now{seconds(100)};
   coordinator.lead(1, Own, now);
@@ -494,7 +494,7 @@
   CHECK(simulation.Switch.version() > first);
 }
 TEST_CASE("no change begins while a rank's placement is unknown") {
-  PlatformGroup group(2, true);
+  FakeRankGroup group(2, true);
   MapSwitch coordinator{SwitchLimits()};
   TimePoint now{seconds(100)};
   coordinator.lead(1, 0, now);
--- a/unittests/Experts/MemberConsentTest.cpp
+++ b/unittests/Experts/MemberConsentTest.cpp
@@ -19,7 +19,7 @@
 /// A coordinator that the key-value store has confirmed and all agents follow.
 static MemberConsent makeFollowed() {
   MemberConsent out;
-  out.onAlive(Start);
+  out.onActive(Start);
   out.onConfirmed();
   for (unsigned rank = 0; rank < Size; ++rank)
     out.onReport(rank, Start);
@@ -28,21 +28,21 @@
 
 TEST_CASE("a group follows its coordinator while every agent reports") {
   MemberConsent consent = makeFollowed();
-  CHECK(consent.isFollowed(Size, MemberConsent::Fresh, Start));
-  CHECK_FALSE(consent.isFollowed(Size + 1, MemberConsent::Fresh, Start));
-  CHECK_FALSE(consent.isFollowed(0, MemberConsent::Fresh, Start));
-  TimePoint later = Start + MemberConsent::Fresh;
+  CHECK(consent.isFollowed(Size, MemberConsent::MaxReportAge, Start));
+  CHECK_FALSE(consent.isFollowed(Size + 1, MemberConsent::MaxReportAge, Start));
+  CHECK_FALSE(consent.isFollowed(0, MemberConsent::MaxReportAge, Start));
+  TimePoint later = Start + MemberConsent::MaxReportAge;
   consent.onReport(0, later);
   consent.onReport(2, later);
-  CHECK_FALSE(consent.isFollowed(Size, MemberConsent::Fresh, later));
-  CHECK(consent.isFollowed(Size, MemberConsent::Longest, later));
+  CHECK_FALSE(consent.isFollowed(Size, MemberConsent::MaxReportAge, later));
+  CHECK(consent.isFollowed(Size, MemberConsent::MaxChangeTime, later));
   consent.onReport(1, later);
-  CHECK(consent.isFollowed(Size, MemberConsent::Fresh, later));
+  CHECK(consent.isFollowed(Size, MemberConsent::MaxReportAge, later));
 }
 
 TEST_CASE("a successor waits longer than its predecessor acts") {
   // The predecessor may receive a last report this long after it was sent.
-  Duration goesOn = MemberConsent::Longest + MemberConsent::Pause;
+  Duration goesOn = MemberConsent::MaxChangeTime + MemberConsent::Pause;
   CHECK(goesOn < MemberConsent::SuccessorWait);
 }
 
@@ -50,14 +50,14 @@
     "reports read after a pause count only after the store's confirmation") {
   MemberConsent consent = makeFollowed();
   TimePoint woken = Start + MemberConsent::Pause;
-  consent.onAlive(woken);
+  consent.onActive(woken);
   for (unsigned rank = 0; rank < Size; ++rank)
     consent.onReport(rank, woken);
-  CHECK_FALSE(consent.isFollowed(Size, MemberConsent::Longest, woken));
-  consent.onAlive(woken + milliseconds(60));
-  CHECK_FALSE(consent.isFollowed(Size, MemberConsent::Longest, woken));
+  CHECK_FALSE(consent.isFollowed(Size, MemberConsent::MaxChangeTime, woken));
+  consent.onActive(woken + milliseconds(60));
+  CHECK_FALSE(consent.isFollowed(Size, MemberConsent::MaxChangeTime, woken));
   consent.onConfirmed();
-  CHECK(consent.isFollowed(Size, MemberConsent::Longest, woken));
+  CHECK(consent.isFollowed(Size, MemberConsent::MaxChangeTime, woken));
 }
 
 TEST_CASE("an agent passes on orders of the latest coordinator only") {
--- a/unittests/Experts/OneMapTest.cpp
+++ b/unittests/Experts/OneMapTest.cpp
@@ -7,9 +7,9 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "FakeKeyValue.h"
+#include "FakeKeyValueStore.h"
 #include "RandomScheduler.h"
-#include "standin/RankModel.h"
+#include "standin/FakeRank.h"
 
 #include "ospreyspur/Experts/GroupCoordinator.h"
 #include "ospreyspur/Experts/GroupMember.h"
@@ -21,7 +21,7 @@
 
 using namespace ospreyspur;
 using namespace ospreyspur::test;
-using standin::RankModel;
+using standin::FakeRank;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -45,7 +45,7 @@
     for (std::size_t i = 0; i < RankCount; ++i)
       Ids.push_back(EndpointId("r" + std::to_string(i)));
     for (std::size_t i = 0; i < RankCount; ++i) {
-      Agents[i].Rank = std::make_unique<RankModel>(checksFences);
+      Agents[i].Rank = std::make_unique<FakeRank>(checksFences);
       startAgent(i);
     }
     step();
@@ -56,10 +56,10 @@
   std::uint64_t StepsDone = 0;
   std::uint64_t Switches = 0;
 
-  void setWanted(const std::string &map) {
+  void setTargetMap(const std::string &map) {
     Wanted = map;
     for (Agent &it : Agents)
-      it.Coordinator->setWanted(map);
+      it.Coordinator->setTargetMap(map);
   }
 
   bool isInForce(const std::string &map) const {
@@ -79,7 +79,7 @@
           Scheduler.now() + milliseconds(Scheduler.below(12000));
       return;
     case 4:
-      Agents[i].Rank = std::make_unique<RankModel>(ChecksFences);
+      Agents[i].Rank = std::make_unique<FakeRank>(ChecksFences);
       Agents[i].StartedStep = {};
       return startAgent(i);
     case 5:
@@ -120,7 +120,7 @@
 
 private:
   struct Agent {
-    std::unique_ptr<RankModel> Rank;
+    std::unique_ptr<FakeRank> Rank;
     std::unique_ptr<GroupMember> Member;
     std::unique_ptr<GroupCoordinator> Coordinator;
     std::uint64_t Incarnation = 0;
@@ -143,7 +143,7 @@
         std::make_unique<GroupCoordinator>(GroupId("g"), Ids[i], limits);
     agent.Coordinator->setMembers(Ids);
     if (!Wanted.empty())
-      agent.Coordinator->setWanted(Wanted);
+      agent.Coordinator->setTargetMap(Wanted);
     apply(i, agent.Member->start(Scheduler.now()));
     apply(i, agent.Coordinator->onTimer(Scheduler.now()));
   }
@@ -157,7 +157,7 @@
       return;
     if (Scheduler.now() < agent.FrozenUntil)
       Scheduler.at(agent.FrozenUntil, [=, this] {
-        Scheduler.soon([=, this] { input(i, incarnation, handler); });
+        Scheduler.runSoon([=, this] { input(i, incarnation, handler); });
       });
     else
       apply(i, handler(agent));
@@ -196,7 +196,7 @@
 
   void perform(std::size_t /*i*/, const SendGroupOrder &action) {
     std::size_t k = indexOf(action.To);
-    Scheduler.unreliably(Rates.Message, [=, this] {
+    Scheduler.runUnreliably(Rates.Message, [=, this] {
       input(k, Agents[k].Incarnation, [=, this](Agent &agent) {
         return agent.Member->onOrder(action.Order, Scheduler.now());
       });
@@ -205,7 +205,7 @@
 
   void perform(std::size_t /*i*/, const SendGroupReply &action) {
     std::size_t k = indexOf(action.To);
-    Scheduler.unreliably(Rates.Message, [=, this] {
+    Scheduler.runUnreliably(Rates.Message, [=, this] {
       input(k, Agents[k].Incarnation, [=, this](Agent &agent) {
         GroupActions out = agent.Member->onReply(action.Reply, Scheduler.now());
         for (GroupAction &it :
@@ -221,10 +221,10 @@
     std::uint64_t incarnation = Agents[i].Incarnation;
     if (Scheduler.chance(Rates.Message))
       return;
-    Scheduler.soon([=, this] {
+    Scheduler.runSoon([=, this] {
       RankReply rankReply = Agents[i].Rank->handle(action.Order);
       if (!Scheduler.chance(Rates.Message))
-        Scheduler.soon([=, this] {
+        Scheduler.runSoon([=, this] {
           input(i, incarnation, [=, this](Agent &agent) {
             return agent.Member->onRankReply(action.Id, rankReply,
                                              Scheduler.now());
@@ -251,7 +251,7 @@
       Scheduler.at(Scheduler.now() + KvTimeout, [=] { reply(lost); });
       return;
     }
-    Scheduler.soon([=, this] { reply(callKv(action.Request.Call)); });
+    Scheduler.runSoon([=, this] { reply(callKv(action.Request.Call)); });
   }
 
   KvReply callKv(const KvCall &call) {
@@ -299,7 +299,7 @@
   std::vector<EndpointId> Ids;
   Agent Agents[RankCount];
   std::map<std::pair<std::size_t, std::uint64_t>, TimePoint> TimersArmed;
-  FakeKeyValue Kv;
+  FakeKeyValueStore Kv;
   std::uint64_t LastIncarnation = 0;
   std::string Wanted;
   TimePoint OutageUntil;
@@ -312,10 +312,10 @@
   GroupSimulation simulation(seed, FaultRates(), checksFences);
   RandomScheduler &random = simulation.Scheduler;
   TimePoint begin = random.now();
-  simulation.setWanted("map 0");
+  simulation.setTargetMap("map 0");
   for (unsigned i = 1; i <= 6; ++i)
     random.at(begin + seconds(3 * i), [&simulation, i] {
-      simulation.setWanted("map " + std::to_string(i));
+      simulation.setTargetMap("map " + std::to_string(i));
     });
   for (unsigned i = 0; i < 8; ++i)
     random.at(begin + milliseconds(random.below(25000)),
@@ -323,7 +323,7 @@
   random.runUntil(begin + seconds(30));
   REQUIRE(simulation.MapMismatch == "");
   simulation.endFaults();
-  simulation.setWanted("last map");
+  simulation.setTargetMap("last map");
   random.runUntil(begin + seconds(90));
   REQUIRE(simulation.MapMismatch == "");
   INFO(simulation.describe());
@@ -353,9 +353,9 @@
 
 TEST_CASE("without faults a map comes into force") {
   GroupSimulation simulation(3, {0, 0, 0}, true);
-  simulation.setWanted("first");
+  simulation.setTargetMap("first");
   simulation.Scheduler.runUntil(simulation.Scheduler.now() + seconds(20));
-  simulation.setWanted("second");
+  simulation.setTargetMap("second");
   simulation.Scheduler.runUntil(simulation.Scheduler.now() + seconds(20));
   CHECK(simulation.MapMismatch == "");
   CHECK(simulation.isInForce("second"));
--- a/unittests/Experts/PlacementPlannerTest.cpp
+++ b/unittests/Experts/PlacementPlannerTest.cpp
@@ -95,18 +95,18 @@
 
 TEST_CASE("a slow rank gets less load than the others") {
   PlacementLimits limits{11, 4, 3, 0.04};
-  std::vector<double> paces(Ranks, 1.0);
+  std::vector<double> slowdowns(Ranks, 1.0);
   constexpr unsigned Slow = 3;
-  paces[Slow] = 5;
+  slowdowns[Slow] = 5;
   GroupPlacement present = makeInitialMap();
   std::vector<double> demand = makeSkewedDemand(1);
   PlacementPlanner planner(limits);
-  PlacementPlan plan = planner.plan(present, demand, paces);
+  PlacementPlan plan = planner.plan(present, demand, slowdowns);
   double before = plan.SkewBefore;
   CHECK(before > 4);
   for (int i = 0; i < 8; ++i) {
     present = plan.Placement;
-    plan = planner.plan(present, demand, paces);
+    plan = planner.plan(present, demand, slowdowns);
   }
   CHECK(plan.SkewAfter < before / 2);
   for (std::size_t set = 0; set < Sets; ++set) {
