--- a/unittests/Experts/RankReportTest.cpp
+++ b/unittests/Experts/RankReportTest.cpp
@@ -147,7 +147,7 @@
              it.Armed = ArmedMap{MapVersion(7), StepNumber(3)};
            },
            [](RankStatus &it) { it.Held = StepNumber(3); },
-           [](RankStatus &it) { it.Picks = {1}; }}) {
+           [](RankStatus &it) { it.SampledCounts = {1}; }}) {
     StatusFilter filter;
     RankStatus status = makeStatus({});
     REQUIRE(filter.filter(status, "a:1", Start));
@@ -179,7 +179,7 @@
       StallAdvice advice = watch.onStalled("a:1", rank, now);
       takeovers += advice == StallAdvice::TakeOver ? 1 : 0;
       if (advice == StallAdvice::Ask)
-        watch.onAnswer(now + milliseconds(30));
+        watch.onQueryReply(now + milliseconds(30));
     }
     CHECK(takeovers == 0);
   }
@@ -194,7 +194,7 @@
     StallAdvice advice = watch.onStalled("a:1", 3, now);
     takeovers += advice == StallAdvice::TakeOver ? 1 : 0;
     if (advice == StallAdvice::Ask)
-      watch.onAnswer(now);
+      watch.onQueryReply(now);
   }
   CHECK(takeovers == 1);
 }
@@ -229,7 +229,7 @@
           continue;
         takeovers += advice == StallAdvice::TakeOver ? 1 : 0;
         if (advice == StallAdvice::Ask)
-          watch.onAnswer(now + milliseconds(30));
+          watch.onQueryReply(now + milliseconds(30));
       }
       CHECK(takeovers == 0);
     }
--- a/unittests/FakeKeyValue.h
+++ b/unittests/FakeKeyValueStore.h
@@ -1,12 +1,12 @@
-//===- FakeKeyValue.h - in-memory key-value store ---------------*- C++ -*-===//
+//===- FakeKeyValueStore.h - in-memory key-value store ----------*- C++ -*-===//
 //
 // Compare-and-swap and leases on virtual time. The simulations that use this
 // class drop calls and responses themselves.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_FAKEKEYVALUE_H
-#define OSPREYSPUR_UNITTESTS_FAKEKEYVALUE_H
+#ifndef OSPREYSPUR_UNITTESTS_FAKEKEYVALUESTORE_H
+#define OSPREYSPUR_UNITTESTS_FAKEKEYVALUESTORE_H
 
 #include "ospreyspur/Platform/KeyValue.h"
 
@@ -16,7 +16,7 @@
 namespace ospreyspur::test {
 
 /// A key-value store without faults.
-class FakeKeyValue {
+class FakeKeyValueStore {
 public:
   /// Performs \p call at \p now.
   KvReply perform(const KvCall &call, TimePoint now) {
@@ -27,10 +27,10 @@
       return read(get->Key);
     if (const auto *renew = std::get_if<KvRenew>(&call)) {
       auto it = Entries.find(renew->Key);
-      if (it == Entries.end() || it->second.At != renew->Holder)
+      if (it == Entries.end() || it->second.At != renew->WrittenRevision)
         return {ResultCode::NotFound, {}, {}};
       it->second.Expires = now + it->second.Lease;
-      return {ResultCode::Ok, renew->Holder, {}};
+      return {ResultCode::Ok, renew->WrittenRevision, {}};
     }
     const auto &put = std::get<KvPut>(call);
     KvReply present = read(put.Key);
@@ -62,4 +62,4 @@
 
 } // namespace ospreyspur::test
 
-#endif // OSPREYSPUR_UNITTESTS_FAKEKEYVALUE_H
+#endif // OSPREYSPUR_UNITTESTS_FAKEKEYVALUESTORE_H
--- a/unittests/Http/HttpClientTest.cpp
+++ b/unittests/Http/HttpClientTest.cpp
@@ -31,10 +31,11 @@
   }
 
   /// Makes two calls in sequence and returns whether each succeeded.
-  std::pair<bool, bool> callTwice(Repetition repetition) {
+  std::pair<bool, bool> callTwice(ResendPolicy resendPolicy) {
     std::pair<bool, bool> out;
     HttpClient client(Context, Address);
-    asio::co_spawn(Context, callBoth(client, repetition, out), asio::detached);
+    asio::co_spawn(Context, callBoth(client, resendPolicy, out),
+                   asio::detached);
     Context.run();
     return out;
   }
@@ -55,11 +56,11 @@
     }
   }
 
-  asio::awaitable<void> callBoth(HttpClient &client, Repetition repetition,
+  asio::awaitable<void> callBoth(HttpClient &client, ResendPolicy resendPolicy,
                                  std::pair<bool, bool> &out) {
     HttpRequest request(boost::beast::http::verb::get, "/", 11);
-    out.first = bool(co_await client.call(request, seconds(5), repetition));
-    out.second = bool(co_await client.call(request, seconds(5), repetition));
+    out.first = bool(co_await client.call(request, seconds(5), resendPolicy));
+    out.second = bool(co_await client.call(request, seconds(5), resendPolicy));
     Context.stop();
   }
 
@@ -72,13 +73,13 @@
 
 TEST_CASE("a call that may be resent succeeds if its idle connection closed") {
   OneResponseServer server;
-  CHECK(server.callTwice(Repetition::AfterLostConnection) ==
+  CHECK(server.callTwice(ResendPolicy::AfterLostConnection) ==
         std::pair(true, true));
   CHECK(server.connections() == 2);
 }
 
 TEST_CASE("a call that may not be resent fails if its idle connection closed") {
   OneResponseServer server;
-  CHECK(server.callTwice(Repetition::Never) == std::pair(true, false));
+  CHECK(server.callTwice(ResendPolicy::Never) == std::pair(true, false));
   CHECK(server.connections() == 1);
 }
--- a/unittests/Http/HttpServerTest.cpp
+++ b/unittests/Http/HttpServerTest.cpp
@@ -90,7 +90,7 @@
   tcp::socket client = fixture.connect();
   fixture.Context.poll();
   CHECK(fixture.Server.busyCount() == 1);
-  fixture.Server.closeAfterAnswers();
+  fixture.Server.closeAfterResponses();
   asio::write(client, asio::buffer(Request));
   CHECK(fixture.readAll(client).find("Connection: close") != std::string::npos);
   fixture.Context.restart();
@@ -143,14 +143,14 @@
   HttpServer server(ioc, HttpLimits(),
                     [&](HttpExchange &exchange) -> asio::awaitable<void> {
                       asio::steady_timer timer(ioc, std::chrono::seconds(30));
-                      exchange.watchHangUp([&] {
+                      exchange.watchDisconnect([&] {
                         isDetected = true;
                         timer.cancel();
                       });
                       boost::system::error_code ec;
                       co_await timer.async_wait(
                           asio::redirect_error(asio::use_awaitable, ec));
-                      exchange.cut();
+                      exchange.abort();
                     });
   REQUIRE(server.listen(address));
   tcp::socket client(ioc);
--- a/unittests/Platform/PlatformWireTest.cpp
+++ b/unittests/Platform/PlatformWireTest.cpp
@@ -44,7 +44,7 @@
   CHECK(it.Routes[0].IsResumable);
   CHECK(it.Keys.at("k2").Priority == 3U);
   REQUIRE(it.findService(ServiceId("s")));
-  CHECK(it.findService(ServiceId("s"))->Engine->StepsPerPass == 6);
+  CHECK(it.findService(ServiceId("s"))->Engine->StepsPerIteration == 6);
   CHECK(it.Limits.IdleTimeout == std::chrono::seconds(9));
 }
 
@@ -62,21 +62,21 @@
 
 TEST_CASE("only endpoints whose record has a stage get status queries") {
   KvItem item;
-  item.Key = std::string(platform::EndpointPrefix) + "i-1";
+  item.Key = std::string(platform::EndpointKeyPrefix) + "i-1";
   const std::string common =
       R"({"service":"s","address":"10.0.0.1:80","zone":"a","version":"v1",)"
       R"("state":"ready","slots":12,"seq":3)";
   item.Value = common + "}";
   REQUIRE(platform::readEndpoint(item));
-  CHECK_FALSE(platform::readEndpoint(item).value().TellsState);
+  CHECK_FALSE(platform::readEndpoint(item).value().AnswersStatusQueries);
   item.Value = common + R"(,"stage":"mixed"})";
-  CHECK(platform::readEndpoint(item).value().TellsState);
+  CHECK(platform::readEndpoint(item).value().AnswersStatusQueries);
 }
 
 namespace {
 KvItem makeItem(const std::string &value) {
   KvItem item;
-  item.Key = std::string(platform::EndpointPrefix) + "i-1";
+  item.Key = std::string(platform::EndpointKeyPrefix) + "i-1";
   item.Value = value;
   return item;
 }
@@ -119,7 +119,7 @@
     CHECK(read.error().Code == ResultCode::EndpointRowUnreadable);
   }
   KvItem nameless = makeItem(good);
-  nameless.Key = platform::EndpointPrefix;
+  nameless.Key = platform::EndpointKeyPrefix;
   CHECK_FALSE(platform::readEndpoint(nameless));
 }
 
@@ -138,7 +138,7 @@
   CHECK(read("").Id == EndpointId("i-1"));
   CHECK(platform::readReport(R"({"born":1701,"group":{"name":"g"}})")
             .value()
-            .Life == RankLife(1701));
+            .Incarnation == RankIncarnation(1701));
 }
 
 TEST_CASE("damaged messages give errors and do not crash") {
@@ -204,7 +204,7 @@
   CHECK(caller.Key == "k1");
   CHECK(caller.TimeLeft == std::chrono::seconds(8));
   CHECK(caller.Tokens.Prompt == 1460);
-  CHECK(caller.Tokens.Answer == 80);
+  CHECK(caller.Tokens.Output == 80);
   HttpRequest out = platform::makeEndpointRequest(
       request, {"i-1", WorkspaceId("w"), std::chrono::milliseconds(700), "12"});
   CHECK(std::string(out.target()) == "/a/x?y=1");
@@ -219,8 +219,8 @@
   CHECK(out.find("Authorization") == out.end());
 }
 
-static AnswerVerdict verdictOf(unsigned status,
-                               std::initializer_list<const char *> headers) {
+static ResponseKind verdictOf(unsigned status,
+                              std::initializer_list<const char *> headers) {
   HttpResponse response;
   response.result(status);
   for (const char *it : headers) {
@@ -228,24 +228,24 @@
     std::size_t colon = text.find(':');
     response.set(text.substr(0, colon), text.substr(colon + 1));
   }
-  return platform::readAnswer(response, "abc").Verdict;
+  return platform::parseEndpointResponse(response, "abc").Kind;
 }
 
 TEST_CASE("only an explicit response of the endpoint shows that nothing ran") {
   CHECK(verdictOf(200, {"Request-Id:abc", "Replica-Stamp:s"}) ==
-        AnswerVerdict::Own);
+        ResponseKind::Own);
   CHECK(verdictOf(500, {"Request-Id:abc", "Replica-Stamp:s"}) ==
-        AnswerVerdict::Failed);
-  CHECK(verdictOf(503, {"Not-Executed:1"}) == AnswerVerdict::Full);
-  CHECK(verdictOf(421, {}) == AnswerVerdict::OtherEndpoint);
+        ResponseKind::Failed);
+  CHECK(verdictOf(503, {"Not-Executed:1"}) == ResponseKind::Full);
+  CHECK(verdictOf(421, {}) == ResponseKind::OtherIncarnation);
   CHECK(verdictOf(200, {"Request-Id:xyz", "Replica-Stamp:s"}) ==
-        AnswerVerdict::Foreign);
-  CHECK(verdictOf(200, {"Request-Id:abc"}) == AnswerVerdict::Unusable);
+        ResponseKind::Foreign);
+  CHECK(verdictOf(200, {"Request-Id:abc"}) == ResponseKind::Unusable);
   CHECK(verdictOf(503, {"Request-Id:abc", "Replica-Stamp:s"}) ==
-        AnswerVerdict::Unusable);
-  CHECK(verdictOf(429, {}) == AnswerVerdict::Unusable);
+        ResponseKind::Unusable);
+  CHECK(verdictOf(429, {}) == ResponseKind::Unusable);
   CHECK(verdictOf(200, {"Request-Id:abc", "Replica-Stamp:s",
-                        "Content-Encoding:gzip"}) == AnswerVerdict::Unusable);
+                        "Content-Encoding:gzip"}) == ResponseKind::Unusable);
 }
 
 TEST_CASE("refusals by an entry have a Retry-After and no Replica-Stamp") {
@@ -263,7 +263,7 @@
     HttpResponse answer;
     answer.result(status);
     answer.set("Server-Limit", rate);
-    return platform::readAnswer(answer, "r").Asked;
+    return platform::parseEndpointResponse(answer, "r").ReceivedPushback;
   };
   CHECK(rateLimitOf("2").RequestsPerSecond == 2.0);
   CHECK(rateLimitOf("0.25").RequestsPerSecond == 0.25);
@@ -280,12 +280,13 @@
   HttpResponse twice;
   twice.insert("Server-Limit", "1");
   twice.insert("Server-Limit", "2");
-  CHECK_FALSE(platform::readAnswer(twice, "r").Asked.RequestsPerSecond);
+  CHECK_FALSE(platform::parseEndpointResponse(twice, "r")
+                  .ReceivedPushback.RequestsPerSecond);
   // Status 421 means that another endpoint has the address.
   CHECK_FALSE(rateLimitOf("2", 421).RequestsPerSecond);
   CHECK(rateLimitOf("one", 421).Malformed.empty());
-  CHECK_FALSE(
-      platform::readAnswer(HttpResponse(), "r").Asked.RequestsPerSecond);
+  CHECK_FALSE(platform::parseEndpointResponse(HttpResponse(), "r")
+                  .ReceivedPushback.RequestsPerSecond);
 }
 
 TEST_CASE("the Retry-After of a refusal is parsed, in seconds or as a date") {
@@ -297,13 +298,14 @@
     answer.set("Retry-After", value);
     if (!date.empty())
       answer.set("Date", date);
-    return platform::readAnswer(answer, "r").Asked.Rest;
+    return platform::parseEndpointResponse(answer, "r")
+        .ReceivedPushback.Backoff;
   };
   CHECK(retryAfterOf("3") == Duration(std::chrono::seconds(3)));
   CHECK(retryAfterOf("0.25") == Duration(std::chrono::milliseconds(250)));
   CHECK(retryAfterOf("3", 429) == Duration(std::chrono::seconds(3)));
   CHECK(retryAfterOf("0") == Duration::zero());
-  CHECK(retryAfterOf("1e300") == MaxRest);
+  CHECK(retryAfterOf("1e300") == MaxBackoff);
   CHECK_FALSE(retryAfterOf("3", 200));
   CHECK_FALSE(retryAfterOf("3", 421));
   static constexpr char Now[] = "Wed, 21 Oct 2015 07:28:00 GMT";
@@ -325,7 +327,7 @@
     HttpResponse answer;
     answer.result(status);
     answer.set("Server-Leaving", value);
-    return platform::readAnswer(answer, "r").Asked;
+    return platform::parseEndpointResponse(answer, "r").ReceivedPushback;
   };
   CHECK(leavingOf("1").IsLeaving);
   CHECK(leavingOf("1", 503).IsLeaving);
--- a/unittests/Process/AgentPushbackTest.cpp
+++ b/unittests/Process/AgentPushbackTest.cpp
@@ -6,7 +6,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "PushbackWorld.h"
+#include "PushbackSimulation.h"
 
 #include "ospreyspur/Process/AgentTraffic.h"
 #include "ospreyspur/Rpc/PeerClient.h"
@@ -19,9 +19,9 @@
 
 namespace {
 /// An agent, its endpoint and a link from an entry.
-class AgentWorld {
+class AgentFixture {
 public:
-  explicit AgentWorld(PushbackEndpoint::ResponseMaker response)
+  explicit AgentFixture(PushbackEndpoint::ResponseMaker response)
       : Endpoint(Context, "e", std::move(response)),
         Agent(Context, makeSettings(), Endpoint.record().Address,
               Incarnation(7), "key", Measures, 1) {
@@ -35,9 +35,9 @@
                            },
                            [] {}});
   }
-  ~AgentWorld() { Link.reset(); }
-  AgentWorld(const AgentWorld &) = delete;
-  AgentWorld &operator=(const AgentWorld &) = delete;
+  ~AgentFixture() { Link.reset(); }
+  AgentFixture(const AgentFixture &) = delete;
+  AgentFixture &operator=(const AgentFixture &) = delete;
 
   /// Offers a request every 20 ms for \p span.
   void load(Duration span) {
@@ -112,25 +112,25 @@
 // many requests as the endpoint has slots.
 TEST_CASE("an agent sends its endpoint no more requests than the rate limit "
           "that the endpoint advertises") {
-  AgentWorld world([](HttpResponse &response) {
+  AgentFixture fixture([](HttpResponse &response) {
     response.set("Ospreyspur-Rate-Limit", "2");
     return 200U;
   });
-  world.load(seconds(5));
+  fixture.load(seconds(5));
   // Two requests a second, and those sent before the first response.
-  CHECK(world.arrivals().size() <= 14);
-  CHECK(world.arrivals().size() >= 6);
+  CHECK(fixture.arrivals().size() <= 14);
+  CHECK(fixture.arrivals().size() >= 6);
 }
 
 // Guards against an agent that keeps sending requests to an endpoint that
 // refuses all of them.
 TEST_CASE("an agent sends its endpoint nothing during a backoff") {
-  AgentWorld world([](HttpResponse &response) {
+  AgentFixture fixture([](HttpResponse &response) {
     response.set("Retry-After", "2");
     return 503U;
   });
-  world.load(seconds(3));
-  const std::vector<Arrival> &arrivals = world.arrivals();
+  fixture.load(seconds(3));
+  const std::vector<Arrival> &arrivals = fixture.arrivals();
   REQUIRE_FALSE(arrivals.empty());
   TimePoint first = arrivals.front().At;
   CHECK(std::none_of(arrivals.begin(), arrivals.end(), [&](const Arrival &it) {
@@ -144,14 +144,14 @@
 // host list, too, shows that the endpoint is leaving.
 TEST_CASE("an agent takes no more requests once a response of its endpoint "
           "says that the endpoint is leaving") {
-  AgentWorld world([](HttpResponse &response) {
+  AgentFixture fixture([](HttpResponse &response) {
     response.set("Ospreyspur-Leaving", "1");
     return 200U;
   });
-  world.load(seconds(2));
-  const std::vector<Arrival> &arrivals = world.arrivals();
+  fixture.load(seconds(2));
+  const std::vector<Arrival> &arrivals = fixture.arrivals();
   REQUIRE_FALSE(arrivals.empty());
   CHECK(arrivals.back().At - arrivals.front().At <= milliseconds(300));
-  REQUIRE_FALSE(world.refusals().empty());
-  CHECK(world.refusals().back().Code == ResultCode::EndpointLeaving);
+  REQUIRE_FALSE(fixture.refusals().empty());
+  CHECK(fixture.refusals().back().Code == ResultCode::EndpointLeaving);
 }
--- a/unittests/Process/BackoffEndpointTest.cpp
+++ b/unittests/Process/BackoffEndpointTest.cpp
@@ -5,11 +5,11 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "PushbackWorld.h"
+#include "PushbackSimulation.h"
 
 using namespace ospreyspur;
 using ospreyspur::test::Arrival;
-using ospreyspur::test::PushbackWorld;
+using ospreyspur::test::PushbackSimulation;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -43,26 +43,27 @@
 // Guards against entries that prefer an endpoint that refuses everything again
 // after 100 ms, as no requests run there.
 TEST_CASE("an endpoint in backoff gets no requests until the backoff ends") {
-  PushbackWorld world({refuseWithRetryAfter, serveRequest, serveRequest});
-  world.addEntries(Entries);
-  world.load(300, milliseconds(20));
-  world.run(seconds(6) + milliseconds(500));
-  CHECK(countDuringBackoffs(world.endpoint(0).arrivals()) == 0);
-  CHECK(world.endpoint(0).arrivals().size() >= Entries);
-  CHECK(world.statusCounts().at("HTTP/1.1 200") == Entries * 300);
+  PushbackSimulation simulation(
+      {refuseWithRetryAfter, serveRequest, serveRequest});
+  simulation.addEntries(Entries);
+  simulation.load(300, milliseconds(20));
+  simulation.run(seconds(6) + milliseconds(500));
+  CHECK(countDuringBackoffs(simulation.endpoint(0).arrivals()) == 0);
+  CHECK(simulation.endpoint(0).arrivals().size() >= Entries);
+  CHECK(simulation.statusCounts().at("HTTP/1.1 200") == Entries * 300);
 }
 
 TEST_CASE("callers are refused with spread Retry-After values while all "
           "endpoints are in backoff") {
-  PushbackWorld world(
+  PushbackSimulation simulation(
       {refuseWithRetryAfter, refuseWithRetryAfter, refuseWithRetryAfter});
-  world.addEntries(Entries);
-  world.load(100, milliseconds(20));
-  world.run(seconds(4));
+  simulation.addEntries(Entries);
+  simulation.load(100, milliseconds(20));
+  simulation.run(seconds(4));
   for (unsigned i = 0; i < 3; ++i)
-    CHECK(countDuringBackoffs(world.endpoint(i).arrivals()) == 0);
-  CHECK(world.statusCounts().at("HTTP/1.1 503") >= Entries * 90);
-  std::vector<double> returns = world.retryAfters();
+    CHECK(countDuringBackoffs(simulation.endpoint(i).arrivals()) == 0);
+  CHECK(simulation.statusCounts().at("HTTP/1.1 503") >= Entries * 90);
+  std::vector<double> returns = simulation.retryAfters();
   REQUIRE(returns.size() >= Entries * 90);
   std::sort(returns.begin(), returns.end());
   CHECK(returns[returns.size() * 3 / 4] - returns[returns.size() / 4] >= 0.3);
--- a/unittests/Process/CrashingRequestTest.cpp
+++ b/unittests/Process/CrashingRequestTest.cpp
@@ -64,8 +64,8 @@
   EndpointRecord record() const {
     EndpointRecord out;
     out.Name = Name;
-    out.Life = EndpointLife(Life);
-    out.Id = makeEndpointId(Name, out.Life);
+    out.Incarnation = EndpointIncarnation(Incarnation);
+    out.Id = makeEndpointId(Name, out.Incarnation);
     out.Service = ServiceId("s");
     out.Address = Address;
     out.Slots = 8;
@@ -95,7 +95,7 @@
   using Socket = std::shared_ptr<tcp::socket>;
 
   void start() {
-    ++Life;
+    ++Incarnation;
     Acceptor.open(tcp::v4());
     Acceptor.set_option(asio::socket_base::reuse_address(true));
     Acceptor.bind(Address);
@@ -115,8 +115,8 @@
   }
 
   asio::awaitable<void> acceptAll() {
-    unsigned life = Life;
-    while (life == Life && Acceptor.is_open()) {
+    unsigned incarnation = Incarnation;
+    while (incarnation == Incarnation && Acceptor.is_open()) {
       auto [ec, socket] = co_await Acceptor.async_accept(AsTuple);
       if (ec)
         co_return;
@@ -166,7 +166,7 @@
   std::function<void()> OnChange;
   tcp::acceptor Acceptor;
   tcp::endpoint Address;
-  unsigned Life = 0;
+  unsigned Incarnation = 0;
   unsigned Crashes = 0;
   bool ListensLast = false;
   std::set<Socket> Open;
@@ -176,9 +176,9 @@
 using StatusCounts = std::map<std::string, unsigned>;
 
 /// Real entries in front of such endpoints.
-class CrashingWorld {
+class CrashingFixture {
 public:
-  CrashingWorld(unsigned entries, unsigned endpoints) {
+  CrashingFixture(unsigned entries, unsigned endpoints) {
     for (unsigned i = 0; i < endpoints; ++i)
       Endpoints.emplace_back(Context, "e" + std::to_string(i),
                              [this] { publish(); });
@@ -307,19 +307,19 @@
 
 TEST_CASE("a request that crashes endpoints is not sent on without limit") {
   constexpr unsigned Entries = 3;
-  CrashingWorld world(Entries, 8);
+  CrashingFixture fixture(Entries, 8);
   StatusCounts crashingCounts;
   for (unsigned i = 0; i < 40; ++i)
-    world.callAfter(milliseconds(100 * i), i % Entries,
-                    std::string(CrashingBody), crashingCounts);
+    fixture.callAfter(milliseconds(100 * i), i % Entries,
+                      std::string(CrashingBody), crashingCounts);
   StatusCounts innocentCounts;
   constexpr unsigned InnocentRequests = 400;
   for (unsigned i = 0; i < InnocentRequests; ++i)
-    world.callAfter(milliseconds(10 * i), i % Entries,
-                    "innocent " + std::to_string(i), innocentCounts);
-  world.run(milliseconds(5500));
-  CHECK(world.crashCount() >= 1);
-  CHECK(world.crashCount() <= MaxCrashes);
+    fixture.callAfter(milliseconds(10 * i), i % Entries,
+                      "innocent " + std::to_string(i), innocentCounts);
+  fixture.run(milliseconds(5500));
+  CHECK(fixture.crashCount() >= 1);
+  CHECK(fixture.crashCount() <= MaxCrashes);
   CHECK(crashingCounts[std::string(Served)] == 0);
   unsigned answered = 0;
   for (const auto &[status, n] : crashingCounts)
@@ -331,47 +331,47 @@
 
 TEST_CASE("a crash is detected though the endpoint accepts connections") {
   constexpr unsigned Entries = 3;
-  CrashingWorld world(Entries, 8);
-  world.listenLast();
+  CrashingFixture fixture(Entries, 8);
+  fixture.listenLast();
   StatusCounts crashingCounts;
   for (unsigned i = 0; i < 40; ++i)
-    world.callAfter(milliseconds(100 * i), i % Entries,
-                    std::string(CrashingBody), crashingCounts);
-  world.run(milliseconds(5500));
-  CHECK(world.crashCount() >= 1);
-  CHECK(world.crashCount() <= MaxCrashes);
+    fixture.callAfter(milliseconds(100 * i), i % Entries,
+                      std::string(CrashingBody), crashingCounts);
+  fixture.run(milliseconds(5500));
+  CHECK(fixture.crashCount() >= 1);
+  CHECK(fixture.crashCount() <= MaxCrashes);
 }
 
 TEST_CASE("no request is refused for crashes that no request causes") {
   constexpr unsigned Entries = 3;
-  CrashingWorld world(Entries, 8);
+  CrashingFixture fixture(Entries, 8);
   for (unsigned i = 0; i < 12; ++i)
-    world.crashAfter(milliseconds(200 + 250 * i), i % 8);
+    fixture.crashAfter(milliseconds(200 + 250 * i), i % 8);
   StatusCounts counts;
   constexpr unsigned Requests = 400;
   for (unsigned i = 0; i < Requests; ++i)
-    world.callAfter(milliseconds(10 * i), i % Entries,
-                    "innocent " + std::to_string(i), counts);
-  world.run(milliseconds(5500));
-  CHECK(world.crashCount() == 0);
+    fixture.callAfter(milliseconds(10 * i), i % Entries,
+                      "innocent " + std::to_string(i), counts);
+  fixture.run(milliseconds(5500));
+  CHECK(fixture.crashCount() == 0);
   CHECK(counts[std::string(Served)] >= Requests - 2);
 }
 
 TEST_CASE("a new entry learns of quarantined requests from other entries") {
   constexpr unsigned Entries = 3;
-  CrashingWorld world(Entries, 8);
+  CrashingFixture fixture(Entries, 8);
   StatusCounts crashingCounts;
   for (unsigned i = 0; i < 10; ++i)
-    world.callAfter(milliseconds(100 * i), i % Entries,
-                    std::string(CrashingBody), crashingCounts);
-  world.run(milliseconds(2500));
-  unsigned before = world.crashCount();
+    fixture.callAfter(milliseconds(100 * i), i % Entries,
+                      std::string(CrashingBody), crashingCounts);
+  fixture.run(milliseconds(2500));
+  unsigned before = fixture.crashCount();
   CHECK(before >= 1);
-  unsigned last = world.addEntry();
-  world.run(milliseconds(1000));
+  unsigned last = fixture.addEntry();
+  fixture.run(milliseconds(1000));
   for (unsigned i = 0; i < 10; ++i)
-    world.callAfter(milliseconds(100 * i), last, std::string(CrashingBody),
-                    crashingCounts);
-  world.run(milliseconds(2500));
-  CHECK(world.crashCount() == before);
+    fixture.callAfter(milliseconds(100 * i), last, std::string(CrashingBody),
+                      crashingCounts);
+  fixture.run(milliseconds(2500));
+  CHECK(fixture.crashCount() == before);
 }
--- a/unittests/Process/DirectTrafficTest.cpp
+++ b/unittests/Process/DirectTrafficTest.cpp
@@ -73,10 +73,10 @@
 
 /// An entry in front of endpoints that are each constructed with an argument of
 /// the test.
-template <typename Endpoint> class TrafficWorld {
+template <typename Endpoint> class TrafficFixture {
 public:
   template <typename Argument>
-  TrafficWorld(unsigned endpoints, Argument &&argument)
+  TrafficFixture(unsigned endpoints, Argument &&argument)
       : Traffic(Context, makeSettings(), Measures, 1) {
     REQUIRE(Traffic.start());
     auto snapshot = std::make_shared<DirectSnapshot>();
@@ -168,7 +168,7 @@
   /// the connection is closed.
   static asio::awaitable<void> run(HttpExchange &exchange, unsigned &served) {
     if (served++ > 0) {
-      exchange.cut();
+      exchange.abort();
       co_return;
     }
     HttpResponse response;
@@ -185,8 +185,8 @@
 
 TEST_CASE("a request that failed once and then lost its connection gets 502") {
   unsigned served = 0;
-  TrafficWorld<FailingEndpoint> world(2, served);
-  std::string text = world.call("\r\n\r\n");
+  TrafficFixture<FailingEndpoint> fixture(2, served);
+  std::string text = fixture.call("\r\n\r\n");
   CHECK(served == 2);
   CHECK(text.starts_with("HTTP/1.1 502"));
 }
@@ -196,22 +196,23 @@
     DirectLimits().MaxSilence + std::chrono::milliseconds(400);
 
 TEST_CASE("an idle stream is not cut off if no other endpoint is available") {
-  TrafficWorld<PausingEndpoint> world(1, LongPause);
-  std::string text = world.call();
+  TrafficFixture<PausingEndpoint> fixture(1, LongPause);
+  std::string text = fixture.call();
   CHECK(text.find("first") != std::string::npos);
   CHECK(text.find("second") != std::string::npos);
   CHECK(text.ends_with(EndOfStream));
-  CHECK(world.endpoints().front().requests().size() == 1);
+  CHECK(fixture.endpoints().front().requests().size() == 1);
 }
 
 TEST_CASE("an idle stream migrates and resumes after its last event if another "
           "endpoint has free slots") {
-  TrafficWorld<PausingEndpoint> world(2, Duration(std::chrono::seconds(60)));
-  std::string text = world.call();
+  TrafficFixture<PausingEndpoint> fixture(2,
+                                          Duration(std::chrono::seconds(60)));
+  std::string text = fixture.call();
   CHECK(text.find("second") != std::string::npos);
   CHECK(text.ends_with(EndOfStream));
   std::vector<std::string> all;
-  for (const PausingEndpoint &it : world.endpoints())
+  for (const PausingEndpoint &it : fixture.endpoints())
     all.insert(all.end(), it.requests().begin(), it.requests().end());
   std::sort(all.begin(), all.end());
   CHECK(all == std::vector<std::string>{"", "1"});
--- a/unittests/Process/PushbackWorld.h
+++ b/unittests/Process/PushbackSimulation.h
@@ -1,4 +1,6 @@
-//===- PushbackWorld.h - entries and endpoints with pushback ----*- C++ -*-===//
+//===- PushbackSimulation.h - endpoints that send pushback --------*- C++
+//-*-===//
+//-*-===//
 //
 // Real entries and endpoints on sockets. A function of the test makes the
 // endpoints' responses. Each endpoint records the time and the entry of each
@@ -6,8 +8,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_PROCESS_PUSHBACKWORLD_H
-#define OSPREYSPUR_UNITTESTS_PROCESS_PUSHBACKWORLD_H
+#ifndef OSPREYSPUR_UNITTESTS_PROCESS_PUSHBACKSIMULATION_H
+#define OSPREYSPUR_UNITTESTS_PROCESS_PUSHBACKSIMULATION_H
 
 #include "FreeAddress.h"
 
@@ -60,8 +62,8 @@
   EndpointRecord record() const {
     EndpointRecord out;
     out.Name = Name;
-    out.Life = EndpointLife(1);
-    out.Id = makeEndpointId(Name, out.Life);
+    out.Incarnation = EndpointIncarnation(1);
+    out.Id = makeEndpointId(Name, out.Incarnation);
     out.Service = ServiceId("s");
     out.Address = Address;
     out.Slots = 8;
@@ -95,9 +97,9 @@
 };
 
 /// Real entries in front of such endpoints.
-class PushbackWorld {
+class PushbackSimulation {
 public:
-  explicit PushbackWorld(
+  explicit PushbackSimulation(
       const std::vector<PushbackEndpoint::ResponseMaker> &responses) {
     for (const PushbackEndpoint::ResponseMaker &it : responses)
       Endpoints.emplace_back(Context, "e" + std::to_string(Endpoints.size()),
@@ -171,7 +173,7 @@
     for (std::size_t i = 0; i < Entries.size(); ++i) {
       auto snapshot = std::make_shared<DirectSnapshot>();
       snapshot->Config = Config;
-      snapshot->AreNodesListed = true;
+      snapshot->HasNodeList = true;
       for (const PushbackEndpoint &it : Endpoints)
         snapshot->Endpoints.push_back({it.record(), false});
       for (std::size_t k = 0; k < Entries.size(); ++k)
@@ -225,4 +227,4 @@
 
 } // namespace ospreyspur::test
 
-#endif // OSPREYSPUR_UNITTESTS_PROCESS_PUSHBACKWORLD_H
+#endif // OSPREYSPUR_UNITTESTS_PROCESS_PUSHBACKSIMULATION_H
--- a/unittests/Process/RateLimitedEndpointTest.cpp
+++ b/unittests/Process/RateLimitedEndpointTest.cpp
@@ -5,11 +5,11 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "PushbackWorld.h"
+#include "PushbackSimulation.h"
 
 using namespace ospreyspur;
 using ospreyspur::test::Arrival;
-using ospreyspur::test::PushbackWorld;
+using ospreyspur::test::PushbackSimulation;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -41,14 +41,15 @@
 // Guards against entries that ignore an advertised rate limit and send the
 // endpoint its usual share of the requests.
 TEST_CASE("an endpoint gets no more requests than its advertised rate limit") {
-  PushbackWorld world({advertiseOne, advertiseNone, advertiseNone});
-  world.addEntries(Entries);
-  world.load(350, milliseconds(20));
+  PushbackSimulation simulation({advertiseOne, advertiseNone, advertiseNone});
+  simulation.addEntries(Entries);
+  simulation.load(350, milliseconds(20));
   TimePoint from = monotonicNow() + milliseconds(1000);
-  world.run(seconds(7) + milliseconds(500));
+  simulation.run(seconds(7) + milliseconds(500));
   // Four requests in four seconds, and two more as two entries may each send
   // one beyond the limit.
-  CHECK(maxArrivalsWithin(world.endpoint(0).arrivals(), seconds(4), from) <= 6);
-  CHECK(world.endpoint(0).arrivals().size() >= 4);
-  CHECK(world.statusCounts().at("HTTP/1.1 200") == Entries * 350);
+  CHECK(maxArrivalsWithin(simulation.endpoint(0).arrivals(), seconds(4),
+                          from) <= 6);
+  CHECK(simulation.endpoint(0).arrivals().size() >= 4);
+  CHECK(simulation.statusCounts().at("HTTP/1.1 200") == Entries * 350);
 }
--- a/unittests/Pushback/RateLimitedFleet.cpp
+++ b/unittests/Pushback/RateLimitedFleet.cpp
@@ -53,7 +53,7 @@
                                             Time.below(1U << 30U),
                                             "n" + std::to_string(i));
   entry.LimitReceivedAt.clear();
-  entry.Node->beginLife(Time.now());
+  entry.Node->onProcessStarted(Time.now());
   entry.Node->setEndpoints(Listed);
   if (Time.now() >= StoreOutUntil)
     listOthers(i);
@@ -101,7 +101,7 @@
     return;
   DirectNode &node = *Nodes[i].Node;
   LoadReport out{"n" + std::to_string(i),
-                 node.book().ownLoads(Time.now()),
+                 node.endpointTable().ownLoads(Time.now()),
                  {},
                  {},
                  node.takeRateReport(Time.now()),
@@ -112,7 +112,7 @@
     if (k == i || Time.now() < Nodes[i].CutUntil ||
         Time.now() < Nodes[k].CutUntil)
       continue;
-    Time.unreliably(2, [this, k, bytes = encodeLoad(out)] {
+    Time.runUnreliably(2, [this, k, bytes = encodeLoad(out)] {
       if (!isAwake(k, Nodes[k].IncarnationNumber))
         return;
       LoadReport peerReport = *decodeLoad(bytes);
@@ -121,7 +121,7 @@
       if (peerReport.IsIdle)
         to.onIdlePeer(peerReport.Node, Time.now());
       if (peerReport.IsNew)
-        to.onPeerBegun(Time.now());
+        to.onPeerStarted(Time.now());
       perform(k, to.onRateLimits(peerReport.Rates, Time.now()));
       perform(k, to.onLeaving(peerReport.Leaving, Time.now()));
     });
--- a/unittests/Pushback/RateLimitsTest.cpp
+++ b/unittests/Pushback/RateLimitsTest.cpp
@@ -6,7 +6,7 @@
 //===----------------------------------------------------------------------===//
 
 #include "ospreyspur/Pushback/RateLimits.h"
-#include "ospreyspur/Pushback/ClosedEndpoints.h"
+#include "ospreyspur/Pushback/ExcludedEndpoints.h"
 #include "ospreyspur/Pushback/Pushback.h"
 #include "ospreyspur/Rpc/LoadCodec.h"
 
@@ -18,37 +18,38 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-static constexpr LifeDigest TestIncarnation{5};
+static constexpr IncarnationDigest TestIncarnation{5};
 static constexpr TimePoint Start{seconds(1000)};
 
-static bool isKnown(LifeDigest /*incarnation*/) { return true; }
+static bool isKnown(IncarnationDigest /*incarnation*/) { return true; }
 
 TEST_CASE("a response to an earlier request neither lifts nor raises a rate "
           "limit") {
   RateLimits limits;
-  limits.onAnswer(TestIncarnation, 2.0, Start, Start + seconds(1));
-  limits.onAnswer(TestIncarnation, std::nullopt, Start + milliseconds(900),
-                  Start + seconds(2));
-  CHECK(limits.namedRate(TestIncarnation) == 2.0);
-  limits.onAnswer(TestIncarnation, 9.0, Start + milliseconds(900),
-                  Start + seconds(2));
-  CHECK(limits.namedRate(TestIncarnation) == 2.0);
+  limits.onResponse(TestIncarnation, 2.0, Start, Start + seconds(1));
+  limits.onResponse(TestIncarnation, std::nullopt, Start + milliseconds(900),
+                    Start + seconds(2));
+  CHECK(limits.advertisedRate(TestIncarnation) == 2.0);
+  limits.onResponse(TestIncarnation, 9.0, Start + milliseconds(900),
+                    Start + seconds(2));
+  CHECK(limits.advertisedRate(TestIncarnation) == 2.0);
   // Such a response may lower the limit.
-  limits.onAnswer(TestIncarnation, 1.0, Start + milliseconds(900),
-                  Start + seconds(2));
-  CHECK(limits.namedRate(TestIncarnation) == 1.0);
-  limits.onAnswer(TestIncarnation, 9.0, Start + seconds(3), Start + seconds(4));
-  CHECK(limits.namedRate(TestIncarnation) == 9.0);
-  limits.onAnswer(TestIncarnation, std::nullopt, Start + seconds(5),
-                  Start + seconds(6));
+  limits.onResponse(TestIncarnation, 1.0, Start + milliseconds(900),
+                    Start + seconds(2));
+  CHECK(limits.advertisedRate(TestIncarnation) == 1.0);
+  limits.onResponse(TestIncarnation, 9.0, Start + seconds(3),
+                    Start + seconds(4));
+  CHECK(limits.advertisedRate(TestIncarnation) == 9.0);
+  limits.onResponse(TestIncarnation, std::nullopt, Start + seconds(5),
+                    Start + seconds(6));
   CHECK_FALSE(limits.isLimited(TestIncarnation));
 }
 
 TEST_CASE("a report that was sent before a limit was lifted sets no limit") {
   RateLimits limits;
-  limits.onAnswer(TestIncarnation, 2.0, Start, Start + seconds(1));
-  limits.onAnswer(TestIncarnation, std::nullopt, Start + seconds(2),
-                  Start + seconds(3));
+  limits.onResponse(TestIncarnation, 2.0, Start, Start + seconds(1));
+  limits.onResponse(TestIncarnation, std::nullopt, Start + seconds(2),
+                    Start + seconds(3));
   limits.merge({{TestIncarnation, 2.0, seconds(4), seconds(3)}}, isKnown,
                Start + seconds(4));
   CHECK_FALSE(limits.isLimited(TestIncarnation));
@@ -59,7 +60,7 @@
 
 TEST_CASE("an endpoint with a rate limit of zero is tried occasionally") {
   RateLimits limits;
-  limits.onAnswer(TestIncarnation, 0.0, Start, Start);
+  limits.onResponse(TestIncarnation, 0.0, Start, Start);
   unsigned taken = 0;
   for (unsigned i = 0; i < 600; ++i)
     taken += limits.take(TestIncarnation, Start + milliseconds(100) * i);
@@ -69,7 +70,7 @@
 
 TEST_CASE("an idle sender does not accumulate tokens for a burst") {
   RateLimits limits;
-  limits.onAnswer(TestIncarnation, 5.0, Start, Start);
+  limits.onResponse(TestIncarnation, 5.0, Start, Start);
   TimePoint later = Start + seconds(9);
   CHECK(limits.take(TestIncarnation, later));
   CHECK_FALSE(limits.take(TestIncarnation, later));
@@ -80,40 +81,40 @@
   RateLimits limits;
   TimePoint now = Start;
   for (std::uint64_t i = 0; i < 3 * RateLimits::MaxEndpoints; ++i)
-    limits.onAnswer(LifeDigest(i), 1.0, now, now);
+    limits.onResponse(IncarnationDigest(i), 1.0, now, now);
   CHECK(limits.limitedCount() == RateLimits::MaxEndpoints);
   CHECK(limits.takeReport(now).size() == RateLimits::MaxRecordsPerReport);
   limits.setMembers(FleetMembers(), now + RateLimits::KeepFor);
   CHECK(limits.limitedCount() == 0);
-  ClosedEndpoints closed;
-  for (std::uint64_t i = 0; i < 3 * ClosedEndpoints::MaxEndpoints; ++i) {
-    closed.onRest(LifeDigest(i), MaxRest, now);
-    closed.onLeaving(LifeDigest(i), false, now);
+  ExcludedEndpoints excluded;
+  for (std::uint64_t i = 0; i < 3 * ExcludedEndpoints::MaxEndpoints; ++i) {
+    excluded.onBackoff(IncarnationDigest(i), MaxBackoff, now);
+    excluded.onLeaving(IncarnationDigest(i), false, now);
   }
-  CHECK(closed.restingCount(now) == ClosedEndpoints::MaxEndpoints);
-  CHECK(closed.leavingCount() == ClosedEndpoints::MaxEndpoints);
-  CHECK(closed.takeLeavingReport().size() <= 32);
+  CHECK(excluded.backoffCount(now) == ExcludedEndpoints::MaxEndpoints);
+  CHECK(excluded.leavingCount() == ExcludedEndpoints::MaxEndpoints);
+  CHECK(excluded.takeLeavingReport().size() <= 32);
 }
 
 TEST_CASE("a report carries rate limits, and invalid ones are dropped") {
   constexpr double Nan = std::numeric_limits<double>::quiet_NaN();
   constexpr double Inf = std::numeric_limits<double>::infinity();
-  LoadReport out{"n", {}, {}, {}, {}, {LifeDigest(8)}, true};
-  out.Rates = {{LifeDigest(1), 2.5, seconds(3), seconds(2)},
-               {LifeDigest(2), std::nullopt, seconds(1), seconds(1)},
-               {LifeDigest(3), Nan, seconds(1), seconds(1)},
-               {LifeDigest(4), -1.0, seconds(1), seconds(1)},
-               {LifeDigest(5), Inf, seconds(1), seconds(1)}};
+  LoadReport out{"n", {}, {}, {}, {}, {IncarnationDigest(8)}, true};
+  out.Rates = {{IncarnationDigest(1), 2.5, seconds(3), seconds(2)},
+               {IncarnationDigest(2), std::nullopt, seconds(1), seconds(1)},
+               {IncarnationDigest(3), Nan, seconds(1), seconds(1)},
+               {IncarnationDigest(4), -1.0, seconds(1), seconds(1)},
+               {IncarnationDigest(5), Inf, seconds(1), seconds(1)}};
   std::optional<LoadReport> in = decodeLoad(encodeLoad(out));
   REQUIRE(in);
   REQUIRE(in->Rates.size() == 2);
   CHECK(in->Rates[0].PerSecond == 2.5);
   CHECK(in->Rates[0].SentAge == seconds(3));
   CHECK_FALSE(in->Rates[1].PerSecond);
-  CHECK(in->Leaving == std::vector<LifeDigest>{LifeDigest(8)});
+  CHECK(in->Leaving == std::vector<IncarnationDigest>{IncarnationDigest(8)});
   CHECK(in->IsNew);
-  out.Rates.assign(1000, {LifeDigest(1), 1.0, seconds(1), seconds(1)});
-  out.Leaving.assign(1000, LifeDigest(1));
+  out.Rates.assign(1000, {IncarnationDigest(1), 1.0, seconds(1), seconds(1)});
+  out.Leaving.assign(1000, IncarnationDigest(1));
   in = decodeLoad(encodeLoad(out));
   REQUIRE(in);
   CHECK(in->Rates.size() <= 64);
--- a/unittests/Quarantine/QuarantineStoreTest.cpp
+++ b/unittests/Quarantine/QuarantineStoreTest.cpp
@@ -5,7 +5,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "FakeKeyValue.h"
+#include "FakeKeyValueStore.h"
 
 #include "ospreyspur/Quarantine/QuarantineStore.h"
 
@@ -55,14 +55,14 @@
       Restored.push_back(it);
   }
 
-  test::FakeKeyValue Service;
+  test::FakeKeyValueStore Service;
 };
 } // namespace
 
 TEST_CASE("an entry restores requests that an earlier entry quarantined") {
   StoreSimulation simulation(1);
   simulation.run(seconds(1));
-  simulation.Entries[0].setOwn({First}, {}, simulation.Now);
+  simulation.Entries[0].setLocalQuarantine({First}, {}, simulation.Now);
   simulation.run(seconds(2));
   simulation.Entries.clear();
   simulation.Entries.emplace_back(9);
@@ -74,7 +74,7 @@
   StoreSimulation simulation(52);
   simulation.run(seconds(1));
   for (QuarantineStore &it : simulation.Entries)
-    it.setOwn({First}, {}, simulation.Now);
+    it.setLocalQuarantine({First}, {}, simulation.Now);
   simulation.run(seconds(5));
   CHECK(simulation.Writes <= 8);
   for (const QuarantineStore &it : simulation.Entries)
@@ -85,8 +85,8 @@
   StoreSimulation simulation(2);
   simulation.run(seconds(1));
   simulation.IsStoreDown = true;
-  simulation.Entries[0].setOwn({First}, {}, simulation.Now);
-  simulation.Entries[1].setOwn({Second}, {}, simulation.Now);
+  simulation.Entries[0].setLocalQuarantine({First}, {}, simulation.Now);
+  simulation.Entries[1].setLocalQuarantine({Second}, {}, simulation.Now);
   simulation.run(seconds(30));
   CHECK(simulation.Writes == 0);
   simulation.IsStoreDown = false;
@@ -102,9 +102,9 @@
 TEST_CASE("a cleared request is removed from the store") {
   StoreSimulation simulation(1);
   simulation.run(seconds(1));
-  simulation.Entries[0].setOwn({First, Second}, {}, simulation.Now);
+  simulation.Entries[0].setLocalQuarantine({First, Second}, {}, simulation.Now);
   simulation.run(seconds(2));
-  simulation.Entries[0].setOwn({Second}, {First}, simulation.Now);
+  simulation.Entries[0].setLocalQuarantine({Second}, {First}, simulation.Now);
   simulation.run(seconds(2));
   CHECK(simulation.Entries[0].stored() == std::vector{Second});
 }
@@ -112,7 +112,7 @@
 TEST_CASE("the value is kept while an entry knows it and expires after that") {
   StoreSimulation simulation(1);
   simulation.run(seconds(1));
-  simulation.Entries[0].setOwn({First}, {}, simulation.Now);
+  simulation.Entries[0].setLocalQuarantine({First}, {}, simulation.Now);
   simulation.run(minutes(25));
   simulation.Entries.emplace_back(9);
   simulation.run(seconds(1));
@@ -134,7 +134,7 @@
   std::vector<RequestDigest> many;
   for (std::uint64_t i = 1; i <= 10 * QuarantineStore::MaxStored; ++i)
     many.emplace_back(i);
-  simulation.Entries[0].setOwn(many, {}, simulation.Now);
+  simulation.Entries[0].setLocalQuarantine(many, {}, simulation.Now);
   simulation.run(seconds(3));
   CHECK(simulation.Entries[0].stored().size() == QuarantineStore::MaxStored);
 }
--- a/unittests/RandomScheduler.h
+++ b/unittests/RandomScheduler.h
@@ -49,17 +49,17 @@
 
   /// Runs \p event after a random delay, which is long for latePercent of the
   /// events.
-  void soon(Event event) {
+  void runSoon(Event event) {
     auto limit = chance(LatePercent) ? 900000U : 3000U;
     at(Now + Duration(below(limit)), std::move(event));
   }
 
-  /// Like soon(), but the event may be lost or may run twice.
-  void unreliably(unsigned faultPercent, const Event &event) {
+  /// Like runSoon(), but the event may be lost or may run twice.
+  void runUnreliably(unsigned faultPercent, const Event &event) {
     if (!chance(faultPercent))
-      soon(event);
+      runSoon(event);
     if (chance(faultPercent))
-      soon(event);
+      runSoon(event);
   }
 
   /// Runs all events up to and including \p end, then advances the time to
--- /dev/null
+++ b/unittests/Routing/EngineCrashTest.cpp
@@ -0,0 +1,180 @@
+//===- EngineCrashTest.cpp - engine crashes on the path through agents ----===//
+//
+// Several entries and agents on virtual time. Guards against a request that
+// crashes an engine each time it is sent. This happens if an entry keeps no
+// record of failed runs, if an agent cannot distinguish a crash of its engine
+// from a truncated response, or if entries do not share crash reports.
+//
+//===----------------------------------------------------------------------===//
+
+#include "RequestSimulation.h"
+
+#include <doctest/doctest.h>
+
+using namespace ospreyspur;
+using namespace ospreyspur::test;
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+namespace {
+constexpr unsigned Seeds = 20;
+/// Three crashes before the request can be quarantined, and three more while
+/// the crash reports propagate.
+constexpr unsigned MaxCrashes = 6;
+constexpr std::size_t EntryCount = 3;
+constexpr std::size_t AgentCount = 12;
+
+/// A deployment with a deadly request and, by default, no faults; all requests
+/// may run more than once.
+class EngineSimulation : public RequestSimulation {
+public:
+  explicit EngineSimulation(std::uint64_t seed, FaultRates rates = {0, 0, 0, 0})
+      : RequestSimulation(seed, rates, EntryCount, AgentCount,
+                          EntryLimits().ClaimLease, 10000) {
+    setDeadly("deadly");
+  }
+
+  /// Sends the request \p name every \p pause until \p end, to the entries in
+  /// turn.
+  void sendRepeatedly(const std::string &name, Duration pause, TimePoint end) {
+    std::size_t n = 0;
+    for (TimePoint at = Scheduler.now(); at < end; at += pause, ++n)
+      Scheduler.at(at, [this, name, n] {
+        bool isDeadly = name == "deadly";
+        sendRequest(n % EntryCount, isDeadly ? name : name + std::to_string(n),
+                    [](CallerRequest &it) { it.IsRetryable = true; });
+      });
+  }
+
+  unsigned countCode(ResultCode code, bool ofDeadly) const {
+    unsigned n = 0;
+    for (const auto &it : Calls)
+      n += it->Ended && !it->IsAborted && it->Code == code &&
+                   (it->Name == "deadly") == ofDeadly
+               ? 1
+               : 0;
+    return n;
+  }
+
+  unsigned countOthers() const {
+    unsigned n = 0;
+    for (const auto &it : Calls)
+      n += it->Name != "deadly" ? 1 : 0;
+    return n;
+  }
+};
+} // namespace
+
+TEST_CASE("through agents, copies of a deadly request at several entries crash "
+          "only a few engines") {
+  for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
+    CAPTURE(seed);
+    EngineSimulation simulation(seed);
+    TimePoint begin = simulation.Scheduler.now();
+    simulation.Scheduler.runUntil(begin + milliseconds(200));
+    simulation.sendRepeatedly("deadly", milliseconds(70), begin + seconds(8));
+    simulation.sendRepeatedly("innocent", milliseconds(30), begin + seconds(8));
+    simulation.Scheduler.runUntil(begin + seconds(14));
+    CHECK(simulation.deadlyCrashes() >= 1);
+    CHECK(simulation.deadlyCrashes() <= MaxCrashes);
+    CHECK(simulation.countCode(ResultCode::Ok, true) == 0);
+    CHECK(simulation.countCode(ResultCode::RequestQuarantined, true) > 0);
+    CHECK(simulation.countCode(ResultCode::RequestQuarantined, false) == 0);
+    CHECK(simulation.countCode(ResultCode::Ok, false) * 100 >=
+          simulation.countOthers() * 98);
+  }
+}
+
+TEST_CASE("through agents, restarted entries run no deadly request while the "
+          "key-value store is unavailable") {
+  for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
+    CAPTURE(seed);
+    EngineSimulation simulation(seed);
+    TimePoint begin = simulation.Scheduler.now();
+    simulation.setOutage(seconds(60));
+    simulation.Scheduler.runUntil(begin + milliseconds(200));
+    simulation.sendRepeatedly("deadly", milliseconds(70), begin + seconds(12));
+    simulation.Scheduler.runUntil(begin + seconds(3));
+    unsigned before = simulation.deadlyCrashes();
+    CHECK(before >= 1);
+    CHECK(before <= MaxCrashes);
+    // Kill the entries one by one, then all at once, then one together with two
+    // relays.
+    for (std::size_t i = 0; i < EntryCount; ++i) {
+      simulation.killEntry(i);
+      simulation.Scheduler.runUntil(simulation.Scheduler.now() +
+                                    milliseconds(400));
+    }
+    for (std::size_t i = 0; i < EntryCount; ++i)
+      simulation.killEntry(i);
+    simulation.Scheduler.runUntil(begin + seconds(7));
+    simulation.killAgent(simulation.Scheduler.below(AgentCount));
+    simulation.killAgent(simulation.Scheduler.below(AgentCount));
+    simulation.killEntry(0);
+    simulation.Scheduler.runUntil(begin + seconds(15));
+    CHECK(simulation.deadlyCrashes() == before);
+  }
+}
+
+TEST_CASE("through agents, a deadly request crashes only a few engines while "
+          "entries are killed and disconnected") {
+  for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
+    CAPTURE(seed);
+    EngineSimulation simulation(seed, {0, 15, 0, 2});
+    TimePoint begin = simulation.Scheduler.now();
+    simulation.Scheduler.runUntil(begin + milliseconds(200));
+    simulation.sendRepeatedly("deadly", milliseconds(110), begin + seconds(10));
+    simulation.sendRepeatedly("innocent", milliseconds(40),
+                              begin + seconds(10));
+    for (unsigned k = 0; k < 12; ++k) {
+      TimePoint at = begin + milliseconds(300 + 700 * k);
+      simulation.Scheduler.at(at, [&simulation, k] {
+        std::size_t i = simulation.Scheduler.below(EntryCount);
+        std::size_t n = simulation.Scheduler.below(AgentCount);
+        switch (k % 4) {
+        case 0:
+          simulation.killEntry(i);
+          break;
+        case 1:
+          simulation.freezeEntry(i, milliseconds(900));
+          break;
+        case 2:
+          simulation.killAgent(n);
+          break;
+        default:
+          simulation.cutLink(i, n);
+        }
+      });
+    }
+    simulation.Scheduler.runUntil(begin + seconds(16));
+    CHECK(simulation.deadlyCrashes() <= MaxCrashes);
+    CHECK(simulation.countCode(ResultCode::RequestQuarantined, false) == 0);
+  }
+}
+
+TEST_CASE("through agents, unrelated engine crashes quarantine no request") {
+  for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
+    CAPTURE(seed);
+    EngineSimulation simulation(seed);
+    TimePoint begin = simulation.Scheduler.now();
+    simulation.Scheduler.runUntil(begin + milliseconds(200));
+    simulation.sendRepeatedly("innocent", milliseconds(15), begin + seconds(8));
+    // The same request repeatedly, as from a polling caller.
+    for (unsigned k = 0; k < 300; ++k)
+      simulation.Scheduler.at(begin + milliseconds(200 + 25 * k), [&simulation,
+                                                                   k] {
+        simulation.sendRequest(k % EntryCount, "poll", [](CallerRequest &it) {
+          it.IsRetryable = true;
+        });
+      });
+    for (unsigned k = 0; k < 24; ++k)
+      simulation.Scheduler.at(
+          begin + milliseconds(400 + 300 * k), [&simulation] {
+            simulation.crashEngine(simulation.Scheduler.below(AgentCount));
+          });
+    simulation.Scheduler.runUntil(begin + seconds(14));
+    CHECK(simulation.countCode(ResultCode::RequestQuarantined, false) == 0);
+    CHECK(simulation.countCode(ResultCode::Ok, false) * 100 >=
+          simulation.countOthers() * 97);
+  }
+}
--- a/unittests/Routing/EngineLifeTest.cpp
+++ b/unittests/Routing/EngineIncarnationTest.cpp
@@ -1,4 +1,4 @@
-//===- EngineLifeTest.cpp - how an agent reports engine crashes -----------===//
+//===- EngineIncarnationTest.cpp - how an agent reports engine crashes ----===//
 //
 // An agent distinguishes a crash of its engine from a truncated response, and
 // numbers the engine's incarnations so that every entry counts a crash once.
@@ -85,8 +85,8 @@
   Finish two = agent.end(second, ResultCode::EndpointFailed);
   CHECK(one.Code == ResultCode::EndpointFailed);
   CHECK(two.Code == ResultCode::EndpointFailed);
-  CHECK(one.Life == two.Life);
-  CHECK(agent.attach().Life == two.Life);
+  CHECK(one.Incarnation == two.Incarnation);
+  CHECK(agent.attach().Incarnation == two.Incarnation);
 }
 
 TEST_CASE("separate engine crashes report different incarnations") {
@@ -94,7 +94,7 @@
   Finish one = agent.end(agent.start(), ResultCode::EndpointFailed);
   agent.Now += seconds(1);
   Finish two = agent.end(agent.start(), ResultCode::EndpointFailed);
-  CHECK(one.Life != two.Life);
+  CHECK(one.Incarnation != two.Incarnation);
 }
 
 TEST_CASE("a truncated response does not count as an engine crash") {
@@ -102,7 +102,7 @@
   Finish cut = agent.end(agent.start(), ResultCode::AnswerBroken);
   Finish next = agent.end(agent.start(), ResultCode::EndpointFailed);
   CHECK(cut.Code == ResultCode::AnswerBroken);
-  CHECK(cut.Life == next.Life);
+  CHECK(cut.Incarnation == next.Incarnation);
 }
 
 TEST_CASE("an engine exit while the endpoint is leaving is not attributed to a "
--- a/unittests/Routing/FailingRunTest.cpp
+++ b/unittests/Routing/FailingRunTest.cpp
@@ -38,7 +38,7 @@
     request.Id = CallId(++LastCall);
     request.Service = ServiceId("s");
     request.Body = "crashes every engine";
-    request.IsRepeatable = true;
+    request.IsRetryable = true;
     request.Deadline = seconds(8);
     LastResult = ResultCode::Ok;
     perform(Entry.onCall(request, Now));
@@ -53,7 +53,7 @@
     for (const EntryAction &it : actions) {
       if (const auto *sent = std::get_if<SendToAgent>(&it))
         respond(*sent);
-      if (const auto *error = std::get_if<AnswerError>(&it))
+      if (const auto *error = std::get_if<ResponseError>(&it))
         LastResult = error->Code;
     }
   }
@@ -89,8 +89,8 @@
 
 TEST_CASE("through agents, a request that crashes its endpoints is run only a "
           "few times") {
-  CrashingEndpoints world(32);
+  CrashingEndpoints simulation(32);
   for (unsigned i = 0; i < 12; ++i)
-    CHECK(world.call() != ResultCode::Ok);
-  CHECK(world.runs() <= MaxRuns);
+    CHECK(simulation.call() != ResultCode::Ok);
+  CHECK(simulation.runs() <= MaxRuns);
 }
--- a/unittests/Routing/LeavingTest.cpp
+++ b/unittests/Routing/LeavingTest.cpp
@@ -130,14 +130,14 @@
   CHECK(actions.size() == 2);
   CHECK(agent.setLeaving(true, Start).empty());
   agent.onMessage(Link, LeavingSeen{}, Start);
-  CHECK_FALSE(agent.isLeavingSeen());
+  CHECK_FALSE(agent.isLeavingConfirmed());
   agent.onLinkDown(Other, Start);
-  CHECK(agent.isLeavingSeen());
+  CHECK(agent.isLeavingConfirmed());
   // A new entry is notified before its probe is refused.
   actions = agent.onMessage(Late, Probe{CallId(3), {}, seconds(5)}, Start);
   REQUIRE(actions.size() == 2);
   CHECK(std::get<Leaving>(std::get<SendToLink>(actions[0]).Body).IsLeaving);
-  CHECK_FALSE(agent.isLeavingSeen());
+  CHECK_FALSE(agent.isLeavingConfirmed());
 }
 
 TEST_CASE("an entry that confirmed the leaving does not use an outstanding "
--- a/unittests/Routing/RequestWorld.cpp
+++ b/unittests/Routing/RequestSimulation.cpp
@@ -1,11 +1,11 @@
-//===- RequestWorld.cpp - a simulated deployment with faults --------------===//
+//===- RequestSimulation.cpp - a simulated deployment with faults ---------===//
 //
 // Delivers messages, timers and faults to the nodes, and simulates the engines
 // and the key-value store.
 //
 //===----------------------------------------------------------------------===//
 
-#include "RequestWorld.h"
+#include "RequestSimulation.h"
 
 using namespace ospreyspur;
 using namespace ospreyspur::test;
@@ -19,9 +19,10 @@
 /// How long after it was marked as leaving an endpoint may get new requests.
 static constexpr Duration LeavingGrace = seconds(5);
 
-RequestWorld::RequestWorld(std::uint64_t seed, FaultRates rates,
-                           std::size_t entries, std::size_t agents,
-                           Duration claimLease, std::size_t ledgerRecords)
+RequestSimulation::RequestSimulation(std::uint64_t seed, FaultRates rates,
+                                     std::size_t entries, std::size_t agents,
+                                     Duration claimLease,
+                                     std::size_t ledgerRecords)
     : Scheduler(seed, rates.Late), Rates(rates), ClaimLease(claimLease),
       LedgerRecords(ledgerRecords),
       Snapshot(std::make_shared<RoutingSnapshot>()), Entries(entries),
@@ -42,11 +43,11 @@
     startEntry(i);
 }
 
-std::string RequestWorld::expectedBody(const std::string &name) {
+std::string RequestSimulation::expectedBody(const std::string &name) {
   return "<" + name + " was done, and this is the whole of its answer>";
 }
 
-void RequestWorld::startEntry(std::size_t i) {
+void RequestSimulation::startEntry(std::size_t i) {
   Entry &entry = Entries[i];
   EntryLimits limits;
   limits.TicketValidity = seconds(2);
@@ -61,7 +62,7 @@
   });
 }
 
-void RequestWorld::startAgent(std::size_t i) {
+void RequestSimulation::startAgent(std::size_t i) {
   Agent &agent = Agents[i];
   AgentLimits limits;
   limits.Slots = 2;
@@ -77,21 +78,21 @@
   });
 }
 
-std::size_t RequestWorld::agentOf(const EndpointId &id) const {
+std::size_t RequestSimulation::agentOf(const EndpointId &id) const {
   std::size_t i = 0;
   while (Agents[i].Id != id)
     ++i;
   return i;
 }
 
-LinkId RequestWorld::linkOf(std::size_t entry,
-                            std::uint64_t incarnation) const {
+LinkId RequestSimulation::linkOf(std::size_t entry,
+                                 std::uint64_t incarnation) const {
   return LinkId(incarnation * EntriesPerIncarnation + entry);
 }
 
-CallRecord &
-RequestWorld::sendRequest(std::size_t i, const std::string &name,
-                          const std::function<void(CallerRequest &)> &change) {
+CallRecord &RequestSimulation::sendRequest(
+    std::size_t i, const std::string &name,
+    const std::function<void(CallerRequest &)> &change) {
   Entry &entry = Entries[i];
   CallerRequest request;
   request.Id = CallId(++entry.LastCall);
@@ -120,7 +121,7 @@
   return out;
 }
 
-void RequestWorld::killEntry(std::size_t i) {
+void RequestSimulation::killEntry(std::size_t i) {
   Entry &entry = Entries[i];
   for (auto &[id, record] : entry.OpenCalls) {
     record->IsAborted = true;
@@ -136,7 +137,7 @@
   startEntry(i);
 }
 
-void RequestWorld::killAgent(std::size_t i) {
+void RequestSimulation::killAgent(std::size_t i) {
   for (std::size_t k = 0; k < Entries.size(); ++k)
     deliverToEntry(k, Entries[k].ProcessIncarnation,
                    [this, i](EntryNode &node) {
@@ -145,11 +146,11 @@
   startAgent(i);
 }
 
-void RequestWorld::freezeAgent(std::size_t i, Duration span) {
+void RequestSimulation::freezeAgent(std::size_t i, Duration span) {
   Agents[i].FrozenUntil = Scheduler.now() + span;
 }
 
-void RequestWorld::freezeEntry(std::size_t i, Duration span) {
+void RequestSimulation::freezeEntry(std::size_t i, Duration span) {
   Entry &entry = Entries[i];
   entry.FrozenUntil = std::max(entry.FrozenUntil, Scheduler.now() + span);
   // Callers get no response before the entry resumes.
@@ -157,7 +158,7 @@
     record->Deadline = std::max(record->Deadline, entry.FrozenUntil);
 }
 
-void RequestWorld::setLeaving(std::size_t i, bool leaving) {
+void RequestSimulation::setLeaving(std::size_t i, bool leaving) {
   Agent &agent = Agents[i];
   if (!leaving)
     agent.LeavingSince.reset();
@@ -170,7 +171,7 @@
   });
 }
 
-void RequestWorld::cutLink(std::size_t i, std::size_t k) {
+void RequestSimulation::cutLink(std::size_t i, std::size_t k) {
   deliverToEntry(i, Entries[i].ProcessIncarnation, [this, k](EntryNode &node) {
     return node.onLinkDown(Agents[k].Id, Scheduler.now());
   });
@@ -181,10 +182,10 @@
                  });
 }
 
-void RequestWorld::deliverToEntry(
+void RequestSimulation::deliverToEntry(
     std::size_t i, std::uint64_t incarnation,
     const std::function<EntryActions(EntryNode &)> &input) {
-  Scheduler.soon([this, i, incarnation, input] {
+  Scheduler.runSoon([this, i, incarnation, input] {
     Entry &entry = Entries[i];
     if (entry.ProcessIncarnation != incarnation)
       return;
@@ -198,10 +199,10 @@
   });
 }
 
-void RequestWorld::deliverToAgent(
+void RequestSimulation::deliverToAgent(
     std::size_t i, std::uint64_t incarnation,
     const std::function<AgentActions(AgentNode &)> &input) {
-  Scheduler.soon([this, i, incarnation, input] {
+  Scheduler.runSoon([this, i, incarnation, input] {
     Agent &agent = Agents[i];
     if (agent.ProcessIncarnation != incarnation)
       return;
@@ -217,7 +218,7 @@
 
 /// Runs the node's timer at \p due, or when a frozen node resumes.
 template <typename Nodes>
-void RequestWorld::setTimer(Nodes &nodes, std::size_t i, TimePoint due) {
+void RequestSimulation::setTimer(Nodes &nodes, std::size_t i, TimePoint due) {
   std::uint64_t incarnation = nodes[i].ProcessIncarnation;
   Scheduler.at(due, [this, &nodes, i, incarnation] {
     TimePoint now = Scheduler.now();
@@ -233,25 +234,25 @@
   });
 }
 
-void RequestWorld::apply(std::size_t i, const EntryActions &actions) {
+void RequestSimulation::apply(std::size_t i, const EntryActions &actions) {
   for (const EntryAction &action : actions)
     std::visit([this, i](const auto &it) { perform(i, it); }, action);
   if (auto due = Entries[i].Node->nextTimer())
     setTimer(Entries, i, *due);
 }
 
-void RequestWorld::apply(std::size_t i, const AgentActions &actions) {
+void RequestSimulation::apply(std::size_t i, const AgentActions &actions) {
   for (const AgentAction &action : actions)
     std::visit([this, i](const auto &it) { perform(i, it); }, action);
   if (auto due = Agents[i].Node->nextTimer())
     setTimer(Agents, i, *due);
 }
 
-void RequestWorld::perform(std::size_t i, const SendToAgent &action) {
+void RequestSimulation::perform(std::size_t i, const SendToAgent &action) {
   std::size_t k = agentOf(action.To);
   LinkId link = linkOf(i, Entries[i].ProcessIncarnation);
   // The message reaches the agent's incarnation at the time of arrival.
-  Scheduler.unreliably(Rates.Message, [this, k, link, body = action.Body] {
+  Scheduler.runUnreliably(Rates.Message, [this, k, link, body = action.Body] {
     deliverToAgent(k, Agents[k].ProcessIncarnation,
                    [this, link, body](AgentNode &node) {
                      return node.onMessage(link, body, Scheduler.now());
@@ -259,11 +260,11 @@
   });
 }
 
-void RequestWorld::perform(std::size_t i, const SendToLink &action) {
+void RequestSimulation::perform(std::size_t i, const SendToLink &action) {
   std::size_t k = action.To.get() % EntriesPerIncarnation;
   std::uint64_t incarnation = action.To.get() / EntriesPerIncarnation;
   EndpointId from = Agents[i].Id;
-  Scheduler.unreliably(
+  Scheduler.runUnreliably(
       Rates.Message, [this, k, incarnation, from, body = action.Body] {
         deliverToEntry(k, incarnation, [this, from, body](EntryNode &node) {
           return node.onMessage(from, body, Scheduler.now());
@@ -271,7 +272,8 @@
       });
 }
 
-void RequestWorld::perform(std::size_t i, const CallPlatform &action) {
+void RequestSimulation::perform(std::size_t i,
+                                const CallKeyValueStore &action) {
   std::uint64_t incarnation = Entries[i].ProcessIncarnation;
   KvCallId id = action.Request.Id;
   auto reply = [this, i, incarnation, id](const KvReply &it) {
@@ -291,41 +293,42 @@
     Scheduler.at(Scheduler.now() + KvTimeout, [reply, lost] { reply(lost); });
     return;
   }
-  Scheduler.soon(
+  Scheduler.runSoon(
       [this, call = action.Request.Call, reply] { reply(callKv(call)); });
 }
 
-KvReply RequestWorld::callKv(const KvCall &call) {
+KvReply RequestSimulation::callKv(const KvCall &call) {
   return Kv.perform(call, Scheduler.now());
 }
 
-void RequestWorld::perform(std::size_t /*i*/, const AnswerHead & /*head*/) {}
+void RequestSimulation::perform(std::size_t /*i*/,
+                                const ResponseHead & /*head*/) {}
 
-void RequestWorld::perform(std::size_t i, const AnswerData &action) {
+void RequestSimulation::perform(std::size_t i, const ResponseData &action) {
   Entries[i].OpenCalls.at(action.Call)->Body += action.Data;
 }
 
-void RequestWorld::perform(std::size_t i, const AnswerEnd &action) {
+void RequestSimulation::perform(std::size_t i, const ResponseEnd &action) {
   end(i, action.Call, ResultCode::Ok);
 }
 
-void RequestWorld::perform(std::size_t i, const AnswerError &action) {
+void RequestSimulation::perform(std::size_t i, const ResponseError &action) {
   end(i, action.Call, action.Code);
 }
 
-void RequestWorld::perform(std::size_t i, const AnswerTicket &action) {
+void RequestSimulation::perform(std::size_t i, const ReturnTicket &action) {
   Entries[i].OpenCalls.at(action.Call)->IssuedTicket = action.Permit;
   end(i, action.Call, ResultCode::Ok);
 }
 
-void RequestWorld::end(std::size_t i, CallId id, ResultCode code) {
+void RequestSimulation::end(std::size_t i, CallId id, ResultCode code) {
   CallRecord &record = *Entries[i].OpenCalls.at(id);
   record.Ended = Scheduler.now();
   record.Code = code;
   Entries[i].OpenCalls.erase(id);
 }
 
-void RequestWorld::perform(std::size_t i, const StartRun &action) {
+void RequestSimulation::perform(std::size_t i, const StartRun &action) {
   auto since = Agents[i].LeavingSince;
   if (since && Scheduler.now() > *since + LeavingGrace)
     ++LateStarts;
@@ -343,28 +346,29 @@
   std::uint64_t from = action.ResumeFrom;
   std::uint64_t engine = Agents[i].Engine;
   Agents[i].Runs.insert(id);
-  Scheduler.soon([this, i, incarnation, engine, id, from, name = action.Body] {
-    if (Agents[i].Engine != engine)
-      return;
-    Runs.push_back({name, Scheduler.now()});
-    if (!Deadly.empty() && name == Deadly) {
-      ++DeadlyCrashes;
-      crashEngine(i);
-      return;
-    }
-    deliverToAgent(
-        i, incarnation,
-        [this, i, incarnation, engine, id, from, name](AgentNode &node) {
-          AgentActions out =
-              node.onRunHead(id, 200, "text/plain", Scheduler.now());
-          continueRun(i, incarnation, engine, id,
-                      expectedBody(name).substr(from));
-          return out;
-        });
-  });
+  Scheduler.runSoon(
+      [this, i, incarnation, engine, id, from, name = action.Body] {
+        if (Agents[i].Engine != engine)
+          return;
+        Runs.push_back({name, Scheduler.now()});
+        if (!Deadly.empty() && name == Deadly) {
+          ++DeadlyCrashes;
+          crashEngine(i);
+          return;
+        }
+        deliverToAgent(
+            i, incarnation,
+            [this, i, incarnation, engine, id, from, name](AgentNode &node) {
+              AgentActions out =
+                  node.onRunHead(id, 200, "text/plain", Scheduler.now());
+              continueRun(i, incarnation, engine, id,
+                          expectedBody(name).substr(from));
+              return out;
+            });
+      });
 }
 
-void RequestWorld::crashEngine(std::size_t i) {
+void RequestSimulation::crashEngine(std::size_t i) {
   Agent &agent = Agents[i];
   ++agent.Engine;
   agent.DownUntil = Scheduler.now() + EngineDowntime;
@@ -374,9 +378,9 @@
     });
 }
 
-void RequestWorld::continueRun(std::size_t i, std::uint64_t incarnation,
-                               std::uint64_t engine, RequestId id,
-                               const std::string &rest) {
+void RequestSimulation::continueRun(std::size_t i, std::uint64_t incarnation,
+                                    std::uint64_t engine, RequestId id,
+                                    const std::string &rest) {
   deliverToAgent(i, incarnation,
                  [this, i, incarnation, engine, id, rest](AgentNode &node) {
                    if (Agents[i].Engine != engine)
@@ -396,4 +400,5 @@
                  });
 }
 
-void RequestWorld::perform(std::size_t /*i*/, const StopRun & /*action*/) {}
+void RequestSimulation::perform(std::size_t /*i*/, const StopRun & /*action*/) {
+}
--- a/unittests/Routing/RequestWorld.h
+++ b/unittests/Routing/RequestSimulation.h
@@ -1,4 +1,4 @@
-//===- RequestWorld.h - a simulated deployment with faults ------*- C++ -*-===//
+//===- RequestSimulation.h - a simulated deployment with faults -*- C++ -*-===//
 //
 // Connects real EntryNodes and AgentNodes through a RandomScheduler that loses,
 // duplicates and reorders messages. Kills and freezes nodes, makes the
@@ -7,10 +7,10 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef OSPREYSPUR_UNITTESTS_ROUTING_REQUESTWORLD_H
-#define OSPREYSPUR_UNITTESTS_ROUTING_REQUESTWORLD_H
+#ifndef OSPREYSPUR_UNITTESTS_ROUTING_REQUESTSIMULATION_H
+#define OSPREYSPUR_UNITTESTS_ROUTING_REQUESTSIMULATION_H
 
-#include "FakeKeyValue.h"
+#include "FakeKeyValueStore.h"
 #include "RandomScheduler.h"
 
 #include "ospreyspur/Routing/AgentNode.h"
@@ -53,12 +53,12 @@
 };
 
 /// A small deployment with virtual time.
-class RequestWorld {
+class RequestSimulation {
 public:
-  RequestWorld(std::uint64_t seed, FaultRates rates, std::size_t entries,
-               std::size_t agents,
-               Duration claimLease = EntryLimits().ClaimLease,
-               std::size_t ledgerRecords = 6);
+  RequestSimulation(std::uint64_t seed, FaultRates rates, std::size_t entries,
+                    std::size_t agents,
+                    Duration claimLease = EntryLimits().ClaimLease,
+                    std::size_t ledgerRecords = 6);
 
   RandomScheduler Scheduler;
   /// Records are only ever added, so their addresses are stable.
@@ -124,12 +124,12 @@
   void apply(std::size_t i, const EntryActions &actions);
   void apply(std::size_t i, const AgentActions &actions);
   void perform(std::size_t i, const SendToAgent &action);
-  void perform(std::size_t i, const CallPlatform &action);
-  void perform(std::size_t i, const AnswerHead &action);
-  void perform(std::size_t i, const AnswerData &action);
-  void perform(std::size_t i, const AnswerEnd &action);
-  void perform(std::size_t i, const AnswerError &action);
-  void perform(std::size_t i, const AnswerTicket &action);
+  void perform(std::size_t i, const CallKeyValueStore &action);
+  void perform(std::size_t i, const ResponseHead &action);
+  void perform(std::size_t i, const ResponseData &action);
+  void perform(std::size_t i, const ResponseEnd &action);
+  void perform(std::size_t i, const ResponseError &action);
+  void perform(std::size_t i, const ReturnTicket &action);
   void perform(std::size_t i, const SendToLink &action);
   void perform(std::size_t i, const StartRun &action);
   void perform(std::size_t i, const StopRun &action);
@@ -144,7 +144,7 @@
   std::shared_ptr<RoutingSnapshot> Snapshot;
   std::vector<Entry> Entries;
   std::vector<Agent> Agents;
-  FakeKeyValue Kv;
+  FakeKeyValueStore Kv;
   std::uint64_t LastIncarnation = 0;
   TimePoint OutageUntil;
   std::string Deadly;
@@ -153,4 +153,4 @@
 
 } // namespace ospreyspur::test
 
-#endif // OSPREYSPUR_UNITTESTS_ROUTING_REQUESTWORLD_H
+#endif // OSPREYSPUR_UNITTESTS_ROUTING_REQUESTSIMULATION_H
--- a/unittests/Rpc/MapCodecTest.cpp
+++ b/unittests/Rpc/MapCodecTest.cpp
@@ -37,8 +37,8 @@
   status.Prepared = MapVersion(6);
   status.Armed = ArmedMap{MapVersion(6), StepNumber(815)};
   status.Held = StepNumber(815);
-  status.Picks = {1, 0, 7};
-  status.Pace = 2.5;
+  status.SampledCounts = {1, 0, 7};
+  status.Slowdown = 2.5;
   status.Placement = {{1, 2}, {0}};
   status.Endpoint = "10.0.0.1:8725";
   RankStatus read = roundTrip(status);
@@ -52,8 +52,8 @@
   CHECK(read.Prepared == status.Prepared);
   CHECK((read.Armed == status.Armed));
   CHECK(read.Held == status.Held);
-  CHECK(read.Picks == status.Picks);
-  CHECK(read.Pace == status.Pace);
+  CHECK(read.SampledCounts == status.SampledCounts);
+  CHECK(read.Slowdown == status.Slowdown);
   CHECK(read.Placement == status.Placement);
   CHECK(read.Endpoint == status.Endpoint);
 }
@@ -86,15 +86,15 @@
 TEST_CASE("sampled expert counts take one byte per expert") {
   RankStatus status;
   for (std::uint32_t i = 0; i < 1536; ++i)
-    status.Picks.push_back(i * 40);
+    status.SampledCounts.push_back(i * 40);
   wire::Message bytes;
   encode(status, bytes);
   CHECK(bytes.ByteSizeLong() < 1536 + 32);
   RankStatus read = roundTrip(status);
-  REQUIRE(read.Picks.size() == status.Picks.size());
+  REQUIRE(read.SampledCounts.size() == status.SampledCounts.size());
   // Rounding errors are at most 1/128 of the largest count.
-  for (std::size_t i = 0; i < read.Picks.size(); ++i)
-    CHECK(status.Picks[i] - read.Picks[i] <= 1535 * 40 / 128);
+  for (std::size_t i = 0; i < read.SampledCounts.size(); ++i)
+    CHECK(status.SampledCounts[i] - read.SampledCounts[i] <= 1535 * 40 / 128);
   bytes.mutable_rank_report()->set_picks_shift(25);
   CHECK_FALSE(decode(bytes).has_value());
 }
--- a/unittests/Support/DamagedInputTest.cpp
+++ b/unittests/Support/DamagedInputTest.cpp
@@ -140,10 +140,10 @@
       formatClaim({std::string(64, 'f'), makeTicket()}),
       [](const std::string &text) { return parseClaim(text).has_value(); });
   countAccepted(
-      formatMap(makeDealtMap({2, 8, 4, 3})),
+      formatMap(makeRoundRobinMap({2, 8, 4, 3})),
       [](const std::string &text) { return parseMap(text).has_value(); });
   GroupRecord record;
-  record.Committed.Map = formatMap(makeDealtMap({1, 4, 2, 2}));
+  record.Committed.Map = formatMap(makeRoundRobinMap({1, 4, 2, 2}));
   countAccepted(formatRecord(record), [](const std::string &text) {
     return parseRecord(text).has_value();
   });
--- a/utils/bench/GossipBench.cpp
+++ b/utils/bench/GossipBench.cpp
@@ -7,7 +7,7 @@
 
 #include "GossipBench.h"
 
-#include "Config/GossipWorld.h"
+#include "Config/GossipSimulation.h"
 
 #include "ospreyspur/Rpc/Codec.h"
 
@@ -29,44 +29,46 @@
 /// Platform calls, messages and bytes of the fleet since construction.
 class TrafficMeter {
 public:
-  explicit TrafficMeter(GossipWorld &world)
-      : World(world), Began(world.Scheduler.now()), Calls(world.PlatformCalls) {
-    for (const GossipWorld::Node &it : world.Nodes)
+  explicit TrafficMeter(GossipSimulation &simulation)
+      : Simulation(simulation), Began(simulation.Scheduler.now()),
+        Calls(simulation.PlatformCalls) {
+    for (const GossipSimulation::Node &it : simulation.Nodes)
       Before.push_back({it.BytesOut, it.MessagesOut});
   }
 
   void print(const char *name) const {
     double span =
-        std::chrono::duration<double>(World.Scheduler.now() - Began).count();
+        std::chrono::duration<double>(Simulation.Scheduler.now() - Began)
+            .count();
     std::size_t most = 0;
     std::size_t mostMessages = 0;
     std::size_t sum = 0;
     for (std::size_t i = 0; i < Before.size(); ++i) {
-      std::size_t bytes = World.Nodes[i].BytesOut - Before[i].first;
+      std::size_t bytes = Simulation.Nodes[i].BytesOut - Before[i].first;
       most = std::max(most, bytes);
       sum += bytes;
-      mostMessages =
-          std::max(mostMessages, World.Nodes[i].MessagesOut - Before[i].second);
+      mostMessages = std::max(mostMessages, Simulation.Nodes[i].MessagesOut -
+                                                Before[i].second);
     }
     std::printf("%s, %.1f s: platform calls %.1f/s; sent per node: mean %.0f "
                 "B/s, max %.0f B/s (%zu B in total), max messages %.1f/s\n",
-                name, span, double(World.PlatformCalls - Calls) / span,
+                name, span, double(Simulation.PlatformCalls - Calls) / span,
                 double(sum) / double(Before.size()) / span, double(most) / span,
                 most, double(mostMessages) / span);
   }
 
 private:
-  GossipWorld &World;
+  GossipSimulation &Simulation;
   TimePoint Began;
   std::size_t Calls;
   std::vector<std::pair<std::size_t, std::size_t>> Before;
 };
 
 /// A fleet after 10 s of startup, with message sizes from the codec.
-class BenchFleet : public GossipWorld {
+class BenchFleet : public GossipSimulation {
 public:
   BenchFleet(unsigned lossPercent, unsigned latePercent)
-      : GossipWorld(1, Fleet, lossPercent, latePercent) {
+      : GossipSimulation(1, Fleet, lossPercent, latePercent) {
     SizeOf = [](const GossipMessage &message) {
       wire::Message out;
       std::visit([&](const auto &it) { encode(it, out); }, message);
@@ -95,47 +97,48 @@
 
 void bench::benchGossip() {
   {
-    BenchFleet world(0, 0);
-    std::printf("%zu nodes in %zu data centres\n", world.Nodes.size(),
+    BenchFleet simulation(0, 0);
+    std::printf("%zu nodes in %zu data centres\n", simulation.Nodes.size(),
                 Fleet.DataCentres);
-    TrafficMeter idle(world);
+    TrafficMeter idle(simulation);
     auto cpu = std::clock();
-    world.run(seconds(60));
+    simulation.run(seconds(60));
     double spent = double(std::clock() - cpu) / CLOCKS_PER_SEC;
     idle.print("idle");
     std::printf(
         "  decisions and encoding of sizes: %.4f%% of a core per node\n",
-        100 * spent / 60 / double(world.Nodes.size()));
-    world.change("no faults");
-    for (std::size_t it : world.findWatchers(1))
-      world.kill(it);
-    world.change("both watchers of a data centre just killed");
-    world.cutFromPlatform(2, seconds(600));
-    world.change("a data centre just cut off from the platform");
-    world.run(seconds(30));
+        100 * spent / 60 / double(simulation.Nodes.size()));
+    simulation.change("no faults");
+    for (std::size_t it : simulation.findWatchers(1))
+      simulation.kill(it);
+    simulation.change("both watchers of a data centre just killed");
+    simulation.cutFromPlatform(2, seconds(600));
+    simulation.change("a data centre just cut off from the platform");
+    simulation.run(seconds(30));
     for (std::size_t d : {0, 1, 2})
-      world.cutFromPlatform(d, seconds(600));
-    world.change("a region cut off from the platform");
-    TrafficMeter outage(world);
-    world.setOutage(seconds(60));
-    world.run(seconds(60));
+      simulation.cutFromPlatform(d, seconds(600));
+    simulation.change("a region cut off from the platform");
+    TrafficMeter outage(simulation);
+    simulation.setOutage(seconds(60));
+    simulation.run(seconds(60));
     outage.print("platform outage of a minute");
-    world.change("platform outage just over");
+    simulation.change("platform outage just over");
   }
   {
-    BenchFleet world(1, 5);
-    world.change("1% of messages lost, 1% duplicated, 5% up to 0.9 s late");
+    BenchFleet simulation(1, 5);
+    simulation.change(
+        "1% of messages lost, 1% duplicated, 5% up to 0.9 s late");
   }
   {
     // The agents of a data centre leave the host list one by one in a minute.
-    BenchFleet world(0, 0);
-    TrafficMeter meter(world);
+    BenchFleet simulation(0, 0);
+    TrafficMeter meter(simulation);
     std::vector<std::size_t> gone;
     for (std::size_t i = 0; i < Fleet.Agents; ++i) {
       gone.push_back(i);
-      world.kill(i);
-      world.writeHosts(gone);
-      world.run(std::chrono::milliseconds(600));
+      simulation.kill(i);
+      simulation.writeHosts(gone);
+      simulation.run(std::chrono::milliseconds(600));
     }
     meter.print("agents of a data centre removed, 100 host lists in a minute");
   }
--- a/utils/bench/PickerSimulation.cpp
+++ b/utils/bench/PickerSimulation.cpp
@@ -104,7 +104,7 @@
   request.Workspace = WorkspaceId(
       isFlood ? "flood" : "w" + std::to_string(Random() % Plan.Workspaces));
   request.Service = model;
-  request.IsRepeatable = true;
+  request.IsRetryable = true;
   request.Deadline = Plan.Deadline;
   request.Prefix = Picking.UsesPrefix ? prefix : 0;
   request.Body = std::to_string(prefix);
@@ -181,14 +181,14 @@
 void PickerSimulation::onEntryAction(std::size_t i, const EntryAction &action) {
   TimePoint now = Scheduler.now();
   auto &calls = Entries[i].Calls;
-  if (const auto *data = std::get_if<AnswerData>(&action)) {
+  if (const auto *data = std::get_if<ResponseData>(&action)) {
     Call &call = calls.at(data->Call);
     if (call.FirstToken == TimePoint())
       call.FirstToken = now;
     return;
   }
-  const auto *end = std::get_if<AnswerEnd>(&action);
-  const auto *error = std::get_if<AnswerError>(&action);
+  const auto *end = std::get_if<ResponseEnd>(&action);
+  const auto *error = std::get_if<ResponseError>(&action);
   if (!end && !error)
     return;
   CallId id = end ? end->Call : error->Call;
--- a/utils/bench/bench.cpp
+++ b/utils/bench/bench.cpp
@@ -67,7 +67,7 @@
                          MapShape{58, 256, 256, 2}}) {
     for (double move : {0.0005, 0.02}) {
       ExpertPlanner planner({1.0, move, 100000, 0.005});
-      ExpertMap map = makeDealtMap(shape);
+      ExpertMap map = makeRoundRobinMap(shape);
       TimePoint began = monotonicNow();
       MapPlan first = planner.plan(map, drawDemand(shape, 1));
       double cold = secondsSince(began);
@@ -102,7 +102,7 @@
   entry.setSnapshot(snapshot);
   AgentLimits limits;
   limits.Ledger.MaxRecords = 10 * requests;
-  limits.Ledger.MaxAnswerBytes = 1U << 30U;
+  limits.Ledger.MaxResponseBytes = 1U << 30U;
   AgentNode agent(id, Incarnation(1), "0123456789abcdef", limits, 1);
   TimePoint now(std::chrono::hours(1));
   agent.setLeaving(false, now);
@@ -145,7 +145,7 @@
     request.Service = ServiceId("m");
     request.Method = "POST";
     request.Target = "/v1/completions";
-    request.IsRepeatable = true;
+    request.IsRetryable = true;
     request.Deadline = std::chrono::seconds(60);
     request.Body = std::string(1000, 'p');
     onEntry(entry.onCall(std::move(request), now));
@@ -215,7 +215,7 @@
   reply.Attempt = order.Attempt;
   reply.Step = order.Step;
   std::size_t plain = wireBytes(order);
-  order.Map = formatMap(makeDealtMap({58, 256, 256, 2}));
+  order.Map = formatMap(makeRoundRobinMap({58, 256, 256, 2}));
   std::printf("group order %zu bytes, with map %zu bytes, reply %zu bytes\n",
               plain, wireBytes(order), wireBytes(reply));
 }
