--- a/include/ospreyspur/Config/ConfigChange.h
+++ b/include/ospreyspur/Config/ConfigChange.h
@@ -37,8 +37,9 @@
 };
 
 /// Applies \p change to the document \p text and returns the new document.
-/// Errors: ConfigInvalid, ConfigConflict, ConfigTooLarge, NotFound for a
-/// delete.
+/// Errors: ConfigInvalid, ConfigConflict, ConfigTooLarge, and NotFound for an
+/// unknown section, an empty or too long name or the delete of an absent
+/// object.
 Result<std::string> applyChange(const std::string &text,
                                 const ConfigChange &change);
 
--- a/include/ospreyspur/Config/ConfigDocument.h
+++ b/include/ospreyspur/Config/ConfigDocument.h
@@ -83,7 +83,7 @@
 /// \p document as JSON; parseConfig() reads it back.
 std::string formatConfig(const ConfigDocument &document);
 
-/// Reads the platform's host list into the endpoints of \p snapshot. Errors:
+/// Parses the platform's host list \p text and returns its endpoints. Errors:
 /// PlatformBadAnswer.
 Result<std::vector<EndpointView>> parseHosts(std::string_view text);
 
--- a/include/ospreyspur/Config/ConfigWriter.h
+++ b/include/ospreyspur/Config/ConfigWriter.h
@@ -58,7 +58,7 @@
   std::string NextDocument;
   /// Whether a write was sent and may or may not have taken effect.
   bool IsInDoubt = false;
-  Done Result;
+  Done FinalStep;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Config/GossipActions.h
+++ b/include/ospreyspur/Config/GossipActions.h
@@ -40,7 +40,7 @@
 };
 
 /// Make a call to the key-value store.
-struct CallPlatformForGossip {
+struct CallKeyValueStoreForGossip {
   KvRequest Request;
 };
 
@@ -51,7 +51,7 @@
 
 using GossipAction =
     std::variant<SendDigestTo, SendUpdateTo, ReplyDigest, ReplyUpdate,
-                 CallPlatformForGossip, CopyChanged>;
+                 CallKeyValueStoreForGossip, CopyChanged>;
 using GossipActions = std::vector<GossipAction>;
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Config/GossipMessages.h
+++ b/include/ospreyspur/Config/GossipMessages.h
@@ -21,7 +21,7 @@
 enum class SharedKey : std::uint8_t {
   /// The operators' configuration document.
   Config,
-  /// The platform's list of hosts.
+  /// The platform's host list; on the direct path, the endpoint list.
   Hosts,
 };
 
--- a/include/ospreyspur/Config/GossipNode.h
+++ b/include/ospreyspur/Config/GossipNode.h
@@ -57,8 +57,8 @@
   std::size_t WatchersPerDataCentre = 2;
   /// Digests without a reply after which a node subscribes to another agent.
   unsigned MaxMisses = 2;
-  /// A node that is not a watcher picks one random peer in so many from another
-  /// data centre; a watcher picks all of them there.
+  /// A node that is not a watcher picks its random peer from another data
+  /// centre in one of this many rounds; a watcher always does.
   unsigned RemotePeerOneIn = 10;
   /// Peers that must have replied before copies that did not come from the
   /// store are recent enough to start with.
@@ -89,7 +89,8 @@
   void setPeers(const std::vector<EndpointView> &peers);
   /// Performs the work that is due at \p now; call once to start.
   GossipActions onTimer(TimePoint now);
-  /// Takes the reply to a CallPlatformForGossip; a second reply is ignored.
+  /// Takes the reply to a CallKeyValueStoreForGossip; a second reply is
+  /// ignored.
   GossipActions onKvReply(KvCallId id, const KvReply &reply, TimePoint now);
   /// Takes a message on a link that another node opened.
   GossipActions onMessage(LinkId from, const GossipDigest &digest,
@@ -139,7 +140,8 @@
   /// The random part of MaxAgeJitter that this node adds to MaxAge.
   Duration OwnAgeJitter;
   std::array<KeyFollower, SharedKeyCount> Copies;
-  /// Agents of this node's data centre in tree order, without leaving ones.
+  /// Agents in tree order, without leaving ones: those of this node's data
+  /// centre, or those of all others if there are none in it.
   std::vector<EndpointId> Order;
   std::vector<EndpointId> RemotePeers;
   std::optional<std::size_t> OwnIndex;
--- a/include/ospreyspur/Config/KeyFollower.h
+++ b/include/ospreyspur/Config/KeyFollower.h
@@ -25,9 +25,10 @@
   Duration MaxBackoff = std::chrono::seconds(5);
   /// Updates in quick succession are coalesced: the store is not called again
   /// for this time. Otherwise, when a fleet starts or is replaced, every record
-  /// would wake every watcher (204 records times 40 watchers are two thirds of
-  /// the 11,400 calls of a calm day). The delay is a tenth of the shortest time
-  /// within which a leaving endpoint must be known.
+  /// would wake every watcher; for 204 records and 40 watchers, these calls are
+  /// two thirds of the 11,400 calls of a day without such changes. The delay is
+  /// a tenth of the shortest time within which a leaving endpoint must be
+  /// known.
   Duration CoalesceDelay = std::chrono::milliseconds(200);
   /// An update that follows the previous one by at least this time is not part
   /// of a burst; the store is called again at once.
--- a/include/ospreyspur/Config/Settings.h
+++ b/include/ospreyspur/Config/Settings.h
@@ -34,7 +34,8 @@
   std::string AdminTokenHash;
   /// How long a planned stop is announced before new work is refused.
   Duration StopNotice{};
-  /// How long a planned stop waits for requests in flight.
+  /// Longest duration of a planned stop, including its announcement; then it no
+  /// longer waits for requests in flight.
   Duration StopLimit{};
 };
 
@@ -135,7 +136,7 @@
 /// Reads an agent's settings; errors are collected in \p reader.
 AgentSettings readAgentSettings(SettingsReader &reader);
 
-/// Every key of both roles as rows of a Markdown table.
+/// All keys of the entry, agent, direct and rank programs as a Markdown table.
 std::string formatSettingsTable();
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Control/ControlPlane.h
+++ b/include/ospreyspur/Control/ControlPlane.h
@@ -68,7 +68,7 @@
   void perform(const SendUpdateTo &action);
   void perform(const ReplyDigest &action);
   void perform(const ReplyUpdate &action);
-  void perform(const CallPlatformForGossip &action);
+  void perform(const CallKeyValueStoreForGossip &action);
   void perform(const CopyChanged &action);
   void onPeerReply(const EndpointId &from, const Message &message);
   void setPeers(const std::vector<EndpointView> &peers);
--- a/include/ospreyspur/Control/DirectControl.h
+++ b/include/ospreyspur/Control/DirectControl.h
@@ -1,8 +1,9 @@
 //===- DirectControl.h - control thread of the direct path ------*- C++ -*-===//
 //
-// Keeps the configuration, the endpoint list and the list of Ospreyspur
-// processes current, from the key-value store and from the other processes, and
-// passes immutable snapshots to the traffic threads.
+// On the direct path, `ospreyspur direct` sends requests to endpoints itself,
+// without agents. This class keeps the configuration, the endpoint list and the
+// list of Ospreyspur processes current, from the key-value store and from the
+// other processes, and passes immutable snapshots to the traffic threads.
 //
 //===----------------------------------------------------------------------===//
 
@@ -76,7 +77,7 @@
   void perform(const SendUpdateTo &action);
   void perform(const ReplyDigest &action);
   void perform(const ReplyUpdate &action);
-  void perform(const CallPlatformForGossip &action);
+  void perform(const CallKeyValueStoreForGossip &action);
   void perform(const CopyChanged &action);
   void onMessage(LinkId from, const Message &message);
   void onPeerReply(const EndpointId &from, const Message &message);
--- a/include/ospreyspur/Ledger/Ledger.h
+++ b/include/ospreyspur/Ledger/Ledger.h
@@ -34,7 +34,8 @@
   std::size_t MaxRecords = 100000;
   /// Maximum size of all stored responses, in bytes.
   std::size_t MaxResponseBytes = 64U << 20U;
-  /// How long the record of a started request is kept after its end.
+  /// How long the record of a started request is kept after its end or its
+  /// ticket's expiry, whichever is later.
   Duration Retention = std::chrono::minutes(10);
   /// How long the response to a repeatable request is kept after its end.
   Duration RepeatableResponseRetention = std::chrono::seconds(30);
--- a/include/ospreyspur/Ledger/StoredResponse.h
+++ b/include/ospreyspur/Ledger/StoredResponse.h
@@ -25,11 +25,11 @@
   std::uint64_t BaseOffset = 0;
   std::string Body;
   bool Finished = false;
-  /// Whether the body was dropped to save memory.
+  /// Whether the body was dropped at the end of its retention, to save memory.
   bool Dropped = false;
   ResultCode Code = ResultCode::Ok;
   /// The endpoint's incarnation that ran the request.
-  EngineIncarnation EndpointIncarnation;
+  EngineIncarnation Engine;
 
   /// The offset just after the last byte.
   std::uint64_t end() const { return BaseOffset + Body.size(); }
--- a/include/ospreyspur/Routing/AgentActions.h
+++ b/include/ospreyspur/Routing/AgentActions.h
@@ -31,7 +31,8 @@
   std::uint32_t Priority = 0;
 };
 
-/// Abort the request at the endpoint. The node ignores further events of it.
+/// Abort the request at the endpoint. The agent's state machine ignores later
+/// events of this run.
 struct StopRun {
   RequestId Id;
 };
--- a/include/ospreyspur/Routing/AgentNode.h
+++ b/include/ospreyspur/Routing/AgentNode.h
@@ -131,12 +131,12 @@
 
   /// A queued or running request.
   struct Job {
-    Dispatch Order;
+    Dispatch Request;
     TimePoint Deadline;
     std::optional<TimePoint> Started;
     std::vector<Subscriber> Subscribers;
     /// The endpoint's incarnation when the run started.
-    EngineIncarnation EndpointIncarnation;
+    EngineIncarnation Engine;
   };
 
   void handle(LinkId from, const Probe &probe, TimePoint now);
@@ -153,7 +153,7 @@
   Duration estimateWait(const WorkspaceId &workspace,
                         std::uint32_t priority) const;
   IncarnationDigest currentIncarnation() const {
-    return IncarnationDigest(EndpointIncarnation.get());
+    return IncarnationDigest(Engine.get());
   }
   Duration rateLimitWait() const;
   Duration remainingBackoff() const;
@@ -168,7 +168,7 @@
   void refuse(LinkId from, RequestId id, AttemptNumber attempt,
               ResultCode code);
   void startQueued(TimePoint now);
-  void withdrawQueued(RequestId id, ResultCode reason, TimePoint now);
+  void withdrawJob(RequestId id, ResultCode reason, TimePoint now);
   void endRun(RequestId id, ResultCode code, TimePoint now);
   ResultCode recordEngineExit(EngineIncarnation incarnation, TimePoint now);
   void stopIfUnsubscribed(RequestId id, TimePoint now);
@@ -196,8 +196,9 @@
   std::set<RequestId> Running;
   std::set<std::pair<TimePoint, RequestId>> Deadlines;
   std::optional<TimePoint> NextExpiry;
-  /// Lives of the endpoint that have ended under a run.
-  EngineIncarnation EndpointIncarnation;
+  /// The endpoint's current incarnation: the number of exits of its process
+  /// that this agent has seen, during runs or between them.
+  EngineIncarnation Engine;
   /// Nothing is admitted before this time, as the endpoint was found down.
   TimePoint DownUntil;
   /// The rate limit that the endpoint advertises. All its requests pass through
--- a/include/ospreyspur/Routing/Call.h
+++ b/include/ospreyspur/Routing/Call.h
@@ -20,7 +20,8 @@
 
 /// The stages of a call.
 enum class CallStage : std::uint8_t {
-  /// Waits for another run of the same suspect request; no dispatch is out.
+  /// A suspect request waits for other runs, a crash verdict, its backoff or a
+  /// suitable endpoint; no dispatch is out.
   Deferred,
   /// Waits for the endpoints' offers; no dispatch is out.
   Probing,
@@ -44,7 +45,8 @@
   TimePoint Deadline;
   /// When the current stage times out.
   TimePoint Timer;
-  /// Failed tries within the current stage.
+  /// Failed tries since the last reset: probe rounds, sends of a dispatch or
+  /// status queries; claim reads and claim writes share one count.
   unsigned Tries = 0;
   /// Whether endpoints that recently did not reply are probed as well.
   bool ProbesUnresponsive = false;
--- a/include/ospreyspur/Routing/DrainEstimator.h
+++ b/include/ospreyspur/Routing/DrainEstimator.h
@@ -18,7 +18,7 @@
 class DrainEstimator {
 public:
   /// \p initial is the assumed mean before the first request has finished.
-  explicit DrainEstimator(Duration initial) : MeanHold(initial) {}
+  explicit DrainEstimator(Duration initial) : MeanServiceTime(initial) {}
 
   /// Records that a request held its slot for \p held.
   void record(Duration held);
@@ -29,10 +29,10 @@
                         std::size_t slots) const;
 
   /// Mean time that a request holds its slot.
-  Duration meanHold() const { return MeanHold; }
+  Duration meanServiceTime() const { return MeanServiceTime; }
 
 private:
-  Duration MeanHold;
+  Duration MeanServiceTime;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Routing/EntryNode.h
+++ b/include/ospreyspur/Routing/EntryNode.h
@@ -140,7 +140,7 @@
   void loseContact(Call &call, TimePoint now);
   void onRunFailed(Call &call, const Finish &msg, TimePoint now);
   void noteCrash(const Call &call, const Finish &msg, TimePoint now);
-  void judgeCrashes(TimePoint now);
+  void updateCrashVerdicts(TimePoint now);
   void quarantine(RequestDigest request, bool isFromPeer, TimePoint now);
   void endQuarantined(RequestDigest request);
   bool isSuspect(const Call &call) const;
@@ -178,7 +178,7 @@
   void finishComplete(Call &call, TimePoint now);
   void finishWith(Call &call, ResultCode code);
   void erase(Call &call);
-  void callPlatform(Call &call, KvCall body);
+  void callKeyValueStore(Call &call, KvCall body);
   void send(const EndpointId &to, Message message);
   EntryActions takeActions();
 
--- a/include/ospreyspur/Routing/FairQueue.h
+++ b/include/ospreyspur/Routing/FairQueue.h
@@ -59,8 +59,9 @@
 
   /// Estimates how many of the waiting requests would be served before a new
   /// request of \p workspace with \p weight and \p priority, if no further
-  /// request arrived. Requests that other workspaces have queued beyond their
-  /// share do not count.
+  /// request arrived. All requests of higher priorities count; at the same
+  /// priority, those that other workspaces have queued beyond their share do
+  /// not.
   std::size_t countAhead(const WorkspaceId &workspace, std::uint32_t weight,
                          std::uint32_t priority) const;
 
@@ -73,7 +74,7 @@
   };
   using Ring = std::list<Flow>;
 
-  void forget(const QueuedRequest &request);
+  void decrementCounts(const QueuedRequest &request);
 
   /// Rings by descending priority; the front flow of a ring is served next.
   std::map<std::uint32_t, Ring, std::greater<>> Rings;
--- a/include/ospreyspur/Support/Digest.h
+++ b/include/ospreyspur/Support/Digest.h
@@ -17,8 +17,8 @@
 
 namespace ospreyspur {
 
-/// Identifies requests that are the same to an endpoint: a digest of caller,
-/// path and body.
+/// Identifies requests that are the same to an endpoint: a digest of method,
+/// service or host, target, workspace and body.
 using RequestDigest = StrongType<struct RequestDigestTag, std::uint64_t>;
 
 /// The SHA-256 of \p text in lower-case hex.
--- a/include/ospreyspur/Support/Ids.h
+++ b/include/ospreyspur/Support/Ids.h
@@ -26,15 +26,15 @@
 using GroupId = StrongType<struct GroupIdTag, std::string>;
 /// One incarnation of a process; drawn at random when the process starts.
 using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
-/// Numbers the incarnations of an endpoint's process that one agent incarnation
-/// has seen exit.
+/// Numbers the incarnations of an endpoint's process: the number of exits that
+/// one agent incarnation has seen before.
 using EngineIncarnation =
     StrongType<struct EngineIncarnationTag, std::uint64_t>;
 /// Numbers the tickets of one agent incarnation, from 1 up.
 using TicketSequence = StrongType<struct TicketSequenceTag, std::uint64_t>;
 /// Numbers a caller's request within one entry process.
 using CallId = StrongType<struct CallIdTag, std::uint64_t>;
-/// Numbers the dispatches of one call within one entry process.
+/// Numbers the dispatches of all calls of one entry process.
 using AttemptNumber = StrongType<struct AttemptNumberTag, std::uint32_t>;
 /// Identifies one connection between two Ospreyspur processes at its receiver.
 using LinkId = StrongType<struct LinkIdTag, std::uint64_t>;
--- a/lib/Config/ConfigWriter.cpp
+++ b/lib/Config/ConfigWriter.cpp
@@ -17,14 +17,14 @@
 
 ConfigWriter::Step ConfigWriter::next(TimePoint now) {
   if (CurrentStage == Stage::Ended)
-    return Result;
+    return FinalStep;
   if (now >= Deadline) {
     if (IsInDoubt)
       end(ResultCode::ConfigUnknownFate,
           "submit the change again with the same change id");
     else
       end(ResultCode::PlatformUnavailable, "the platform did not answer");
-    return Result;
+    return FinalStep;
   }
   switch (CurrentStage) {
   case Stage::Pausing:
@@ -86,6 +86,6 @@
 }
 
 void ConfigWriter::end(ResultCode code, std::string detail, Revision at) {
-  Result = {{code, std::move(detail)}, at};
+  FinalStep = {{code, std::move(detail)}, at};
   CurrentStage = Stage::Ended;
 }
--- a/lib/Config/GossipNode.cpp
+++ b/lib/Config/GossipNode.cpp
@@ -126,7 +126,7 @@
       continue;
     KvCallId id(++LastKvCall);
     CallsInFlight.emplace(id, key);
-    Out.push_back(CallPlatformForGossip{{id, std::move(*call)}});
+    Out.push_back(CallKeyValueStoreForGossip{{id, std::move(*call)}});
   }
 }
 
--- a/lib/Config/Settings.cpp
+++ b/lib/Config/Settings.cpp
@@ -89,7 +89,8 @@
   return out;
 }
 
-/// Weights are given in thousandths, as settings are whole numbers.
+/// Reads the [group] section. The weights are given in thousandths, as
+/// readNumber() reads whole numbers.
 static void readGroup(SettingsReader &reader, AgentSettings &out) {
   constexpr double Thousand = 1000.0;
   MapShape &shape = out.MapDimensions;
@@ -158,7 +159,8 @@
       std::chrono::duration<double>(it));
 }
 
-/// What a planned stop leaves of the platform's grace for the end itself.
+/// Fraction of the platform's grace period that a planned stop may use; the
+/// rest is left for the exit of the process.
 static constexpr double StopGraceFraction = 0.93;
 
 DirectSettings ospreyspur::readDirectSettings(SettingsReader &reader) {
--- a/lib/Control/ControlPlane.cpp
+++ b/lib/Control/ControlPlane.cpp
@@ -77,7 +77,7 @@
   Handlers.SendReply(action.To, action.Body);
 }
 
-void ControlPlane::perform(const CallPlatformForGossip &action) {
+void ControlPlane::perform(const CallKeyValueStoreForGossip &action) {
   KvCallId id = action.Request.Id;
   auto onReply = [this, id](const KvReply &reply) {
     apply(Node.onKvReply(id, reply, monotonicNow()));
--- a/lib/Control/DirectControl.cpp
+++ b/lib/Control/DirectControl.cpp
@@ -155,7 +155,7 @@
   Server.send(action.To, action.Body);
 }
 
-void DirectControl::perform(const CallPlatformForGossip &action) {
+void DirectControl::perform(const CallKeyValueStoreForGossip &action) {
   KvCallId id = action.Request.Id;
   auto onReply = [this, id](const KvReply &reply) {
     apply(Node.onKvReply(id, reply, monotonicNow()));
--- a/lib/Routing/AgentNode.cpp
+++ b/lib/Routing/AgentNode.cpp
@@ -1,8 +1,9 @@
 //===- AgentNode.cpp - the traffic side of an agent -----------------------===//
 //
 // Admission control, the queue and timers. AgentRuns.cpp handles admitted
-// requests. Every refusal of a dispatch that says "not run" is recorded in the
-// ledger before it is sent, so that the request cannot run afterwards.
+// requests. Before a refusal of a dispatch that says "not run" is sent, the
+// ledger voids the ticket, unless it is invalid or expired, so that the request
+// cannot run afterwards.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +15,7 @@
 
 using namespace ospreyspur;
 
-static constexpr Duration InitialHold = std::chrono::milliseconds(200);
+static constexpr Duration InitialServiceTime = std::chrono::milliseconds(200);
 static constexpr Duration ExpiryInterval = std::chrono::seconds(5);
 static constexpr Duration MinRetryAfter = std::chrono::milliseconds(500);
 static constexpr Duration MaxTicketValidity = std::chrono::minutes(5);
@@ -26,7 +27,7 @@
                      AgentLimits limits, std::uint64_t seed)
     : Self(std::move(self)), Limits(limits),
       Tickets(Self, incarnation, std::move(key)),
-      RequestLedger(Tickets, limits.Ledger), Drain(InitialHold),
+      RequestLedger(Tickets, limits.Ledger), Drain(InitialServiceTime),
       Weights(std::make_shared<WorkspaceWeights>()), Random(seed) {}
 
 AgentActions AgentNode::onMessage(LinkId from, const Message &message,
@@ -45,7 +46,7 @@
   if (!wasPaused)
     return;
   for (const QueuedRequest &it : Queue.drain())
-    withdrawQueued(it.Id, ResultCode::EndpointPaused, now);
+    withdrawJob(it.Id, ResultCode::EndpointPaused, now);
 }
 
 template <typename T>
@@ -54,8 +55,8 @@
   // Messages for other roles are ignored.
 }
 
-/// Registers the link of an entry. A leaving agent sends Leaving on a new link
-/// before any other message.
+/// Registers the link of an entry at its first Probe or Dispatch. A leaving
+/// agent then sends Leaving before its reply.
 void AgentNode::registerEntry(LinkId link) {
   if (!Entries.insert(link).second || !IsLeaving)
     return;
@@ -150,7 +151,7 @@
     return ResultCode::QueueFull;
   // A response that would be truncated at its deadline only uses up capacity
   // that other requests need.
-  bool isUnservable = wait + Drain.meanHold() > timeLeft;
+  bool isUnservable = wait + Drain.meanServiceTime() > timeLeft;
   if (wait > Duration::zero() && timeLeft > Duration::zero() && isUnservable)
     return ResultCode::QueueFull;
   return ResultCode::Ok;
@@ -170,8 +171,9 @@
 }
 
 Duration AgentNode::computeRetryAfter() {
-  // Jitter between 0.5 and 1.5 times the drain time, so that callers refused at
-  // the same time do not retry at the same time.
+  // Random, so that callers refused at the same time do not retry at the same
+  // time: 0.5 to 1.5 times the expected wait, or the endpoint's backoff plus a
+  // random part.
   Duration toDrain =
       Drain.estimateWait(Queue.size(), Running.size(), Limits.Slots);
   Duration base = std::max({toDrain, rateLimitWait(), MinRetryAfter});
@@ -253,7 +255,7 @@
   // Queued requests have not started: refuse them, so that the entries retry
   // them at other endpoints at once.
   for (const QueuedRequest &it : Queue.drain())
-    withdrawQueued(it.Id, ResultCode::EndpointLeaving, now);
+    withdrawJob(it.Id, ResultCode::EndpointLeaving, now);
 }
 
 void AgentNode::setWeights(std::shared_ptr<const WorkspaceWeights> weights) {
@@ -269,7 +271,7 @@
     Job &job = Jobs.at(id);
     if (!job.Started) {
       Queue.remove(id);
-      withdrawQueued(id, ResultCode::DeadlineBeforeStart, now);
+      withdrawJob(id, ResultCode::DeadlineBeforeStart, now);
     } else {
       job.Subscribers.clear();
       stopIfUnsubscribed(id, now);
--- a/lib/Routing/AgentPushback.cpp
+++ b/lib/Routing/AgentPushback.cpp
@@ -18,7 +18,7 @@
   auto it = Jobs.find(id);
   if (it == Jobs.end() || !it->second.Started)
     return takeActions();
-  IncarnationDigest incarnation(it->second.EndpointIncarnation.get());
+  IncarnationDigest incarnation(it->second.Engine.get());
   if (pushback.RequestsPerSecond || pushback.Malformed.empty())
     Rates.onResponse(incarnation, pushback.RequestsPerSecond,
                      *it->second.Started, now);
@@ -29,14 +29,14 @@
   updateLeaving(now);
   if (remainingBackoff() > Limits.MaxWait)
     for (const QueuedRequest &queued : Queue.drain())
-      withdrawQueued(queued.Id, ResultCode::EndpointsResting, now);
+      withdrawJob(queued.Id, ResultCode::EndpointsResting, now);
   startQueued(now);
   return takeActions();
 }
 
 AgentActions AgentNode::onEndpointExited(TimePoint now) {
   detectPause(now);
-  EndpointIncarnation = EngineIncarnation(EndpointIncarnation.get() + 1);
+  Engine = EngineIncarnation(Engine.get() + 1);
   updateLeaving(now);
   startQueued(now);
   return takeActions();
--- a/lib/Routing/AgentRuns.cpp
+++ b/lib/Routing/AgentRuns.cpp
@@ -13,9 +13,9 @@
 
 using namespace ospreyspur;
 
-/// How long an endpoint that was found down gets no new requests. Without this
-/// pause, an endpoint that fails at once appears the least loaded and attracts
-/// all requests.
+/// How long an agent admits no requests after its endpoint was found down;
+/// queued requests still start. Without this pause, an endpoint that fails at
+/// once appears the least loaded and attracts all requests.
 static constexpr Duration DownPause = std::chrono::milliseconds(150);
 
 void AgentNode::attach(LinkId from, const Dispatch &dispatch, TimePoint now) {
@@ -56,8 +56,8 @@
          Chunk{id, attempt, dispatch.ResumeFrom, response.Body.substr(skip)});
   }
   if (response.Finished)
-    send(from, Finish{id, attempt, response.end(), response.Code,
-                      response.EndpointIncarnation});
+    send(from,
+         Finish{id, attempt, response.end(), response.Code, response.Engine});
 }
 
 void AgentNode::startQueued(TimePoint now) {
@@ -67,12 +67,12 @@
     std::optional<QueuedRequest> next = Queue.pop();
     Job &job = Jobs.at(next->Id);
     job.Started = now;
-    job.EndpointIncarnation = EndpointIncarnation;
+    job.Engine = Engine;
     Running.insert(next->Id);
-    Dispatch &order = job.Order;
-    Out.push_back(StartRun{next->Id, order.Method, order.Target,
-                           order.ContentType, std::move(order.Body),
-                           order.ResumeFrom, order.Priority});
+    Dispatch &dispatch = job.Request;
+    Out.push_back(StartRun{next->Id, dispatch.Method, dispatch.Target,
+                           dispatch.ContentType, std::move(dispatch.Body),
+                           dispatch.ResumeFrom, dispatch.Priority});
   }
 }
 
@@ -116,7 +116,7 @@
     return takeActions();
   if (code == ResultCode::EndpointUnreachable) {
     DownUntil = now + DownPause;
-    withdrawQueued(id, code, now);
+    withdrawJob(id, code, now);
     startQueued(now);
     return takeActions();
   }
@@ -126,14 +126,14 @@
 
 void AgentNode::endRun(RequestId id, ResultCode code, TimePoint now) {
   auto it = Jobs.find(id);
-  EngineIncarnation incarnation = it->second.EndpointIncarnation;
+  EngineIncarnation incarnation = it->second.Engine;
   Drain.record(now - *it->second.Started);
   if (code == ResultCode::EndpointFailed) {
     DownUntil = now + DownPause;
     code = recordEngineExit(incarnation, now);
   }
   StoredResponse *response = RequestLedger.findResponse(id);
-  response->EndpointIncarnation = incarnation;
+  response->Engine = incarnation;
   std::uint64_t length = response->end();
   RequestLedger.finish(id, code, now);
   for (const Subscriber &sub : it->second.Subscribers)
@@ -151,13 +151,13 @@
 ResultCode AgentNode::recordEngineExit(EngineIncarnation incarnation,
                                        TimePoint now) {
   bool wasLeaving = IsLeaving;
-  if (incarnation == EndpointIncarnation)
-    EndpointIncarnation = EngineIncarnation(incarnation.get() + 1);
+  if (incarnation == Engine)
+    Engine = EngineIncarnation(incarnation.get() + 1);
   updateLeaving(now);
   return wasLeaving ? ResultCode::AnswerBroken : ResultCode::EndpointFailed;
 }
 
-void AgentNode::withdrawQueued(RequestId id, ResultCode reason, TimePoint now) {
+void AgentNode::withdrawJob(RequestId id, ResultCode reason, TimePoint now) {
   auto it = Jobs.find(id);
   RequestLedger.withdraw(id, reason, now);
   for (const Subscriber &sub : it->second.Subscribers)
@@ -169,11 +169,11 @@
 
 void AgentNode::stopIfUnsubscribed(RequestId id, TimePoint now) {
   Job &job = Jobs.at(id);
-  if (!job.Subscribers.empty() || !job.Order.Repeatable)
+  if (!job.Subscribers.empty() || !job.Request.Repeatable)
     return;
   if (!job.Started) {
     Queue.remove(id);
-    withdrawQueued(id, ResultCode::TicketVoid, now);
+    withdrawJob(id, ResultCode::TicketVoid, now);
     return;
   }
   Out.push_back(StopRun{id});
--- a/lib/Routing/DrainEstimator.cpp
+++ b/lib/Routing/DrainEstimator.cpp
@@ -15,7 +15,7 @@
 static constexpr int Smoothing = 16;
 
 void DrainEstimator::record(Duration held) {
-  MeanHold += (held - MeanHold) / Smoothing;
+  MeanServiceTime += (held - MeanServiceTime) / Smoothing;
 }
 
 Duration DrainEstimator::estimateWait(std::size_t waiting, std::size_t running,
@@ -25,5 +25,5 @@
   if (ahead < slots)
     return Duration::zero();
   auto turns = static_cast<Duration::rep>(ahead - slots + 1);
-  return MeanHold * turns / static_cast<Duration::rep>(slots);
+  return MeanServiceTime * turns / static_cast<Duration::rep>(slots);
 }
--- a/lib/Routing/EntryClaims.cpp
+++ b/lib/Routing/EntryClaims.cpp
@@ -1,7 +1,8 @@
 //===- EntryClaims.cpp - idempotency keys at an entry ---------------------===//
 //
-// A key is read first, then bound to a ticket by one create-if-absent in the
-// key-value store. An entry that finds the key bound attaches to the same
+// A key is read first, then bound to a ticket by one compare-and-swap in the
+// key-value store, which creates the claim or replaces the revision that the
+// call last read. An entry that finds the key bound attaches to the same
 // ticket, and the agent's ledger ensures that the ticket runs at most once.
 //
 // A call under a key ends as "not run" only if, during the call, the key was
@@ -32,7 +33,7 @@
   }
   call.Stage = CallStage::Claiming;
   Claim value{fingerprint(call.Request), *call.Permit};
-  callPlatform(
+  callKeyValueStore(
       call,
       KvPut{claimKey(call.Request.Workspace, *call.Request.IdempotencyKey),
             formatClaim(value), call.ClaimRevision, Limits.ClaimLease});
@@ -43,8 +44,8 @@
   if (!call.ClaimReadAt)
     call.ClaimReadAt = now;
   call.Stage = CallStage::ReadingClaim;
-  callPlatform(call, KvGet{claimKey(call.Request.Workspace,
-                                    *call.Request.IdempotencyKey)});
+  callKeyValueStore(call, KvGet{claimKey(call.Request.Workspace,
+                                         *call.Request.IdempotencyKey)});
   setStageTimer(call, Limits.ClaimTimeout, now);
 }
 
@@ -122,17 +123,18 @@
   dispatch(call, now);
 }
 
-/// Ends a call whose claim cannot be read or written. If the key was never
-/// read, an earlier attempt may have run. If the key was read as free, no
-/// earlier attempt had run by then and this call has dispatched nothing; a
-/// claim that this call did write is used by the next attempt.
+/// Ends a call whose claim cannot be read or written. If the call holds no
+/// ticket, reading the key never gave a usable result and an earlier attempt
+/// may have run. If it holds one, the key was read as free or as bound to a
+/// void ticket, so no earlier attempt had run by then, and neither has this
+/// call; a claim that this call did write is used by the next attempt.
 void EntryNode::abandonClaim(Call &call) {
   call.RetryAfter = PlatformRetryAfter;
   finishWith(call, call.Permit ? ResultCode::PlatformUnavailable
                                : ResultCode::ClaimUnchecked);
 }
 
-void EntryNode::callPlatform(Call &call, KvCall body) {
+void EntryNode::callKeyValueStore(Call &call, KvCall body) {
   CallsByKv.erase(call.PendingKv);
   call.PendingKv = KvCallId(++LastKvCall);
   CallsByKv[call.PendingKv] = call.Request.Id;
--- a/lib/Routing/EntryCrashes.cpp
+++ b/lib/Routing/EntryCrashes.cpp
@@ -39,12 +39,12 @@
                              Crashes.chanceOf(request, now),
                              Crashes.verdictOf(request), false});
   Reporter.onChange(now);
-  judgeCrashes(now);
+  updateCrashVerdicts(now);
 }
 
 /// Decides which suspect requests to quarantine. The decision waits for the
 /// reports of other entries, except at an entry that knows of no other.
-void EntryNode::judgeCrashes(TimePoint now) {
+void EntryNode::updateCrashVerdicts(TimePoint now) {
   bool isAlone = Reporter.entryCount(now) == 1;
   for (RequestDigest it :
        isAlone ? Crashes.updateAllVerdicts(now) : Crashes.updateVerdicts(now)) {
@@ -61,8 +61,9 @@
   endQuarantined(request);
 }
 
-/// Fails every call of \p request at once. A dispatched one may still be queued
-/// at its agent; it is cancelled if the request may be repeated.
+/// Fails the calls of \p request that are probing or deferred, and cancels and
+/// fails the dispatched ones that may run elsewhere, as these may still be
+/// queued at their agents. All other calls go on.
 void EntryNode::endQuarantined(RequestDigest request) {
   std::vector<CallId> ended;
   for (const auto &[id, call] : Calls) {
@@ -70,9 +71,9 @@
       continue;
     bool isInFlight = call.Stage == CallStage::Dispatched ||
                       call.Stage == CallStage::Accepted;
-    bool isUnsent =
+    bool isUndispatched =
         call.Stage == CallStage::Probing || call.Stage == CallStage::Deferred;
-    if (isUnsent || (isInFlight && mayRunElsewhere(call)))
+    if (isUndispatched || (isInFlight && mayRunElsewhere(call)))
       ended.push_back(id);
   }
   for (CallId id : ended) {
@@ -101,7 +102,8 @@
   return Crashes.verdictOf(call.Request.Digest) == CrashVerdict::Quarantined;
 }
 
-/// Whether the call must wait for another run of the same suspect request.
+/// Whether the call must wait for another run of the same suspect request, for
+/// a pending crash verdict or for its random backoff, which starts here.
 /// Running a suspect request once at a time bounds the number of endpoints that
 /// it can crash before it is quarantined. From the second crash on, a random
 /// backoff keeps entries from dispatching it at the same time.
--- a/lib/Routing/EntryMessages.cpp
+++ b/lib/Routing/EntryMessages.cpp
@@ -1,7 +1,8 @@
 //===- EntryMessages.cpp - agents' messages at an entry -------------------===//
 //
-// Every message about a request names its attempt; one that names an earlier
-// attempt is late and changes nothing.
+// A message that names an attempt other than the current one is late and
+// changes nothing. A ResolveReply names no attempt; it applies to all calls of
+// its request in the stage Resolving.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Routing/EntryNode.cpp
+++ b/lib/Routing/EntryNode.cpp
@@ -38,7 +38,7 @@
     finishWith(call, ResultCode::TooManyCalls);
     return takeActions();
   }
-  judgeCrashes(now);
+  updateCrashVerdicts(now);
   const CallerRequest &stored = call.Request;
   call.Request.Digest = digestRequest(
       DigestKey, {stored.Method, stored.Service.get(), stored.Target,
@@ -179,19 +179,19 @@
 }
 
 void EntryNode::sendDispatch(Call &call, TimePoint now) {
-  Dispatch order;
-  order.Permit = *call.Permit;
-  order.Attempt = call.Attempt;
-  order.ResumeFrom = call.Response.nextOffset();
-  order.Deadline =
+  Dispatch message;
+  message.Permit = *call.Permit;
+  message.Attempt = call.Attempt;
+  message.ResumeFrom = call.Response.nextOffset();
+  message.Deadline =
       std::max(Duration::zero(), call.Deadline - now - Limits.DeadlineMargin);
-  order.Priority = call.Request.Priority;
-  order.Repeatable = call.Request.IsRetryable;
-  order.Method = call.Request.Method;
-  order.Target = call.Request.Target;
-  order.ContentType = call.Request.ContentType;
-  order.Body = call.Request.Body;
-  send(call.Permit->Endpoint, std::move(order));
+  message.Priority = call.Request.Priority;
+  message.Repeatable = call.Request.IsRetryable;
+  message.Method = call.Request.Method;
+  message.Target = call.Request.Target;
+  message.ContentType = call.Request.ContentType;
+  message.Body = call.Request.Body;
+  send(call.Permit->Endpoint, std::move(message));
   setStageTimer(call, Limits.AcceptTimeout, now);
 }
 
@@ -287,7 +287,7 @@
 }
 
 EntryActions EntryNode::onTimer(TimePoint now) {
-  judgeCrashes(now);
+  updateCrashVerdicts(now);
   sendReports(now);
   while (!Timers.empty() && Timers.begin()->first <= now) {
     Call &call = Calls.at(Timers.begin()->second);
@@ -336,12 +336,13 @@
   }
 }
 
-/// The caller's wait ends. Only a call that never had a ticket out, or whose
-/// ticket no other entry can know of, is sure not to have run.
+/// Ends a call at its deadline. A probing or deferred call did not run, unless
+/// it has a caller's ticket, which other entries may know of; the outcome of
+/// any other call is unknown, and its dispatch is cancelled.
 void EntryNode::onDeadline(Call &call) {
-  bool isUnsent =
+  bool isUndispatched =
       call.Stage == CallStage::Probing || call.Stage == CallStage::Deferred;
-  if (isUnsent && !call.Request.CallerTicket) {
+  if (isUndispatched && !call.Request.CallerTicket) {
     finishWith(call, ResultCode::DeadlineBeforeStart);
     return;
   }
--- a/lib/Routing/FairQueue.cpp
+++ b/lib/Routing/FairQueue.cpp
@@ -45,7 +45,7 @@
     ring.pop_front();
   if (ring.empty())
     Rings.erase(Rings.begin());
-  forget(request);
+  decrementCounts(request);
   return request;
 }
 
@@ -57,7 +57,7 @@
       auto it = std::find_if(waiting.begin(), waiting.end(), hasId);
       if (it == waiting.end())
         continue;
-      forget(*it);
+      decrementCounts(*it);
       waiting.erase(it);
       if (waiting.empty())
         ring->second.erase(flow);
@@ -106,7 +106,7 @@
   return ahead;
 }
 
-void FairQueue::forget(const QueuedRequest &request) {
+void FairQueue::decrementCounts(const QueuedRequest &request) {
   --Count;
   auto it = CountByWorkspace.find(request.Workspace);
   if (--it->second == 0)
--- a/unittests/Config/GossipSimulation.cpp
+++ b/unittests/Config/GossipSimulation.cpp
@@ -19,7 +19,7 @@
 static constexpr Duration CallTimeout = seconds(2);
 static constexpr Duration Step = milliseconds(10);
 static constexpr std::uint64_t NodesPerIncarnation = 4096;
-static constexpr std::size_t SeedPeers = 3;
+static constexpr std::size_t StartPeerCount = 3;
 
 static std::string nameOf(SharedKey key) {
   return std::string(key == SharedKey::Config ? ConfigKey : HostsKey);
@@ -38,9 +38,10 @@
         node.Id.Endpoint = EndpointId("e" + std::to_string(Nodes.size() - 1));
     }
   }
-  for (std::size_t i = 0; i < Nodes.size() && Seeds.size() < SeedPeers; ++i)
+  for (std::size_t i = 0;
+       i < Nodes.size() && StartPeers.size() < StartPeerCount; ++i)
     if (!Nodes[i].Id.Endpoint.get().empty())
-      Seeds.push_back(
+      StartPeers.push_back(
           {Nodes[i].Id.Endpoint, {}, Nodes[i].Id.DataCentre, "", {}, false});
   writeHosts({});
   write(SharedKey::Config, "first");
@@ -79,7 +80,7 @@
   Node &node = Nodes[i];
   node.Machine = std::make_unique<GossipNode>(node.Id, GossipLimits(),
                                               Scheduler.below(1U << 30U));
-  node.Machine->setPeers(Seeds);
+  node.Machine->setPeers(StartPeers);
   node.IncarnationNumber = ++LastIncarnation;
   node.Seen = {};
   apply(i, node.Machine->onTimer(Scheduler.now()));
@@ -139,7 +140,7 @@
   return std::stoul(id.get().substr(1));
 }
 
-void GossipSimulation::toNode(
+void GossipSimulation::deliverToNode(
     std::size_t i, std::uint64_t incarnation,
     const std::function<GossipActions(GossipNode &)> &input) {
   Node &node = Nodes[i];
@@ -147,7 +148,7 @@
     return;
   if (Scheduler.now() < node.FrozenUntil) {
     Scheduler.at(node.FrozenUntil, [this, i, incarnation, input] {
-      toNode(i, incarnation, input);
+      deliverToNode(i, incarnation, input);
     });
     return;
   }
@@ -166,8 +167,9 @@
     if (Nodes[i].IncarnationNumber != incarnation ||
         Nodes[i].Machine->nextTimer() != due)
       return;
-    toNode(i, incarnation,
-           [this](GossipNode &it) { return it.onTimer(Scheduler.now()); });
+    deliverToNode(i, incarnation, [this](GossipNode &it) {
+      return it.onTimer(Scheduler.now());
+    });
   });
 }
 
@@ -177,49 +179,50 @@
 }
 
 template <typename Body>
-void GossipSimulation::dial(std::size_t i, const EndpointId &to,
-                            const Body &body) {
+void GossipSimulation::sendOnOwnLink(std::size_t i, const EndpointId &to,
+                                     const Body &body) {
   count(i, body);
   std::size_t k = nodeOf(to);
   LinkId link(Nodes[i].IncarnationNumber * NodesPerIncarnation + i);
   Scheduler.runUnreliably(LossPercent, [this, k, link, body] {
-    toNode(k, Nodes[k].IncarnationNumber, [this, link, body](GossipNode &it) {
-      return it.onMessage(link, body, Scheduler.now());
-    });
+    deliverToNode(k, Nodes[k].IncarnationNumber,
+                  [this, link, body](GossipNode &it) {
+                    return it.onMessage(link, body, Scheduler.now());
+                  });
   });
 }
 
 template <typename Body>
-void GossipSimulation::answer(std::size_t i, LinkId to, const Body &body) {
+void GossipSimulation::replyOnLink(std::size_t i, LinkId to, const Body &body) {
   count(i, body);
   std::size_t k = to.get() % NodesPerIncarnation;
   std::uint64_t incarnation = to.get() / NodesPerIncarnation;
   EndpointId from = Nodes[i].Id.Endpoint;
   Scheduler.runUnreliably(LossPercent, [this, k, incarnation, from, body] {
-    toNode(k, incarnation, [this, from, body](GossipNode &it) {
+    deliverToNode(k, incarnation, [this, from, body](GossipNode &it) {
       return it.onPeerReply(from, body, Scheduler.now());
     });
   });
 }
 
 void GossipSimulation::perform(std::size_t i, const SendDigestTo &action) {
-  dial(i, action.To, action.Body);
+  sendOnOwnLink(i, action.To, action.Body);
 }
 
 void GossipSimulation::perform(std::size_t i, const SendUpdateTo &action) {
-  dial(i, action.To, action.Body);
+  sendOnOwnLink(i, action.To, action.Body);
 }
 
 void GossipSimulation::perform(std::size_t i, const ReplyDigest &action) {
-  answer(i, action.To, action.Body);
+  replyOnLink(i, action.To, action.Body);
 }
 
 void GossipSimulation::perform(std::size_t i, const ReplyUpdate &action) {
-  answer(i, action.To, action.Body);
+  replyOnLink(i, action.To, action.Body);
 }
 
 void GossipSimulation::perform(std::size_t i,
-                               const CallPlatformForGossip &action) {
+                               const CallKeyValueStoreForGossip &action) {
   ++PlatformCalls;
   HeldWatch watch{i, Nodes[i].IncarnationNumber, action.Request.Id,
                   std::get<KvWatch>(action.Request.Call)};
@@ -268,10 +271,10 @@
 
 void GossipSimulation::reply(const HeldWatch &watch, const KvReply &value) {
   Scheduler.runSoon([this, watch, value] {
-    toNode(watch.Caller, watch.IncarnationNumber,
-           [this, watch, value](GossipNode &it) {
-             return it.onKvReply(watch.Id, value, Scheduler.now());
-           });
+    deliverToNode(watch.Caller, watch.IncarnationNumber,
+                  [this, watch, value](GossipNode &it) {
+                    return it.onKvReply(watch.Id, value, Scheduler.now());
+                  });
   });
 }
 
--- a/unittests/Config/GossipSimulation.h
+++ b/unittests/Config/GossipSimulation.h
@@ -93,21 +93,21 @@
 
   std::size_t nodeOf(const EndpointId &id) const;
   bool canReachPlatform(std::size_t i) const;
-  void toNode(std::size_t i, std::uint64_t incarnation,
-              const std::function<GossipActions(GossipNode &)> &input);
+  void deliverToNode(std::size_t i, std::uint64_t incarnation,
+                     const std::function<GossipActions(GossipNode &)> &input);
   void apply(std::size_t i, const GossipActions &actions);
   void setTimer(std::size_t i);
   void perform(std::size_t i, const SendDigestTo &action);
   void perform(std::size_t i, const SendUpdateTo &action);
   void perform(std::size_t i, const ReplyDigest &action);
   void perform(std::size_t i, const ReplyUpdate &action);
-  void perform(std::size_t i, const CallPlatformForGossip &action);
+  void perform(std::size_t i, const CallKeyValueStoreForGossip &action);
   void perform(std::size_t i, const CopyChanged &action);
   void count(std::size_t i, const GossipMessage &message);
   template <typename Body>
-  void dial(std::size_t i, const EndpointId &to, const Body &body);
+  void sendOnOwnLink(std::size_t i, const EndpointId &to, const Body &body);
   template <typename Body>
-  void answer(std::size_t i, LinkId to, const Body &body);
+  void replyOnLink(std::size_t i, LinkId to, const Body &body);
   void hold(HeldWatch watch);
   void reply(const HeldWatch &watch, const KvReply &reply);
 
@@ -120,7 +120,7 @@
   std::list<HeldWatch> Held;
   std::uint64_t LastIncarnation = 0;
   std::map<std::size_t, TimePoint> CutUntil;
-  std::vector<EndpointView> Seeds;
+  std::vector<EndpointView> StartPeers;
 };
 
 } // namespace ospreyspur::test
--- a/unittests/Config/GossipTest.cpp
+++ b/unittests/Config/GossipTest.cpp
@@ -95,7 +95,7 @@
         "first");
 }
 
-TEST_CASE("replies of a single peer do not make a node ready") {
+TEST_CASE("a node is not ready before three peers have replied") {
   GossipNode node({EndpointId(), DataCentreId("d")}, GossipLimits(), 1);
   TimePoint now(std::chrono::hours(1));
   std::vector<EndpointView> peers;
@@ -119,7 +119,7 @@
   TimePoint now(std::chrono::hours(1));
   std::vector<KvRequest> calls;
   for (const GossipAction &it : node.onTimer(now))
-    if (const auto *call = std::get_if<CallPlatformForGossip>(&it))
+    if (const auto *call = std::get_if<CallKeyValueStoreForGossip>(&it))
       calls.push_back(call->Request);
   REQUIRE(calls.size() == SharedKeyCount);
   GossipUpdate newer{SharedKey::Config, {Revision(7), Duration(0)}, "seven"};
@@ -232,7 +232,7 @@
   unsigned calls = 0;
   auto answer = [&](auto &&self, const GossipActions &actions) -> void {
     for (const GossipAction &it : actions)
-      if (const auto *call = std::get_if<CallPlatformForGossip>(&it)) {
+      if (const auto *call = std::get_if<CallKeyValueStoreForGossip>(&it)) {
         ++calls;
         self(self,
              node.onKvReply(call->Request.Id,
@@ -244,8 +244,8 @@
     CHECK(node.nextTimer() > now);
     now = node.nextTimer();
   }
-  // For each of two keys: one call at once, a second one, and then five calls
-  // per second.
+  // For each of two keys: two calls without delay, then one every
+  // CoalesceDelay, which is five per second.
   CHECK(calls >= 8);
   CHECK(calls <= 16);
 }
--- a/unittests/Routing/AtMostOnceTest.cpp
+++ b/unittests/Routing/AtMostOnceTest.cpp
@@ -194,7 +194,7 @@
 TEST_CASE("an entry that resumes after its claim has expired starts no run") {
   constexpr Duration Lease = seconds(3);
   constexpr Duration Freeze = seconds(8);
-  std::size_t lapsed = 0;
+  std::size_t frozenBeforeRun = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     RequestSimulation simulation(seed, {0, 0, 0, 0}, 2, 2, Lease);
     RandomScheduler &random = simulation.Scheduler;
@@ -206,8 +206,9 @@
     };
     random.runUntil(random.now() + seconds(1));
     sendRequest(0);
-    // Freeze the entry at a random point between the first read of the key and
-    // the dispatch.
+    // Freeze the entry less than 20 ms after the request arrived, to hit the
+    // time between the first read of the key and the dispatch; in some seeds
+    // the run has already begun.
     random.runUntil(random.now() + milliseconds(random.below(20)));
     bool hasStarted = !simulation.Runs.empty();
     simulation.freezeEntry(0, Freeze);
@@ -216,14 +217,15 @@
     sendRequest(1);
     random.runUntil(wake + seconds(30));
     INFO("seed " << seed);
-    // Its own run may lie before the freeze; then the retention has passed.
-    lapsed += !hasStarted;
+    // Only these seeds test the expired claim. In the others the run began
+    // before the freeze, and the retention of its record has passed.
+    frozenBeforeRun += !hasStarted;
     for (const RunRecord &it : simulation.Runs)
       CHECK(it.Began < wake);
     for (const auto &it : simulation.Calls)
       CHECK(it->Ended.has_value());
   }
-  CHECK(lapsed > 100);
+  CHECK(frozenBeforeRun > 100);
 }
 
 TEST_CASE(
--- a/unittests/Routing/EngineCrashTest.cpp
+++ b/unittests/Routing/EngineCrashTest.cpp
@@ -24,14 +24,14 @@
 constexpr std::size_t EntryCount = 3;
 constexpr std::size_t AgentCount = 12;
 
-/// A deployment with a deadly request and, by default, no faults; all requests
-/// may run more than once.
+/// A deployment with a crashing request and, by default, no faults; all
+/// requests may run more than once.
 class EngineSimulation : public RequestSimulation {
 public:
   explicit EngineSimulation(std::uint64_t seed, FaultRates rates = {0, 0, 0, 0})
       : RequestSimulation(seed, rates, EntryCount, AgentCount,
                           EntryLimits().ClaimLease, 10000) {
-    setDeadly("deadly");
+    setCrashingRequest("deadly");
   }
 
   /// Sends the request \p name every \p pause until \p end, to the entries in
@@ -40,17 +40,18 @@
     std::size_t n = 0;
     for (TimePoint at = Scheduler.now(); at < end; at += pause, ++n)
       Scheduler.at(at, [this, name, n] {
-        bool isDeadly = name == "deadly";
-        sendRequest(n % EntryCount, isDeadly ? name : name + std::to_string(n),
+        bool isCrashing = name == "deadly";
+        sendRequest(n % EntryCount,
+                    isCrashing ? name : name + std::to_string(n),
                     [](CallerRequest &it) { it.IsRetryable = true; });
       });
   }
 
-  unsigned countCode(ResultCode code, bool ofDeadly) const {
+  unsigned countCode(ResultCode code, bool ofCrashing) const {
     unsigned n = 0;
     for (const auto &it : Calls)
       n += it->Ended && !it->IsAborted && it->Code == code &&
-                   (it->Name == "deadly") == ofDeadly
+                   (it->Name == "deadly") == ofCrashing
                ? 1
                : 0;
     return n;
@@ -65,8 +66,9 @@
 };
 } // namespace
 
-TEST_CASE("through agents, copies of a deadly request at several entries crash "
-          "only a few engines") {
+TEST_CASE(
+    "through agents, copies of a crashing request at several entries crash "
+    "only a few engines") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     EngineSimulation simulation(seed);
@@ -75,8 +77,8 @@
     simulation.sendRepeatedly("deadly", milliseconds(70), begin + seconds(8));
     simulation.sendRepeatedly("innocent", milliseconds(30), begin + seconds(8));
     simulation.Scheduler.runUntil(begin + seconds(14));
-    CHECK(simulation.deadlyCrashes() >= 1);
-    CHECK(simulation.deadlyCrashes() <= MaxCrashes);
+    CHECK(simulation.crashCount() >= 1);
+    CHECK(simulation.crashCount() <= MaxCrashes);
     CHECK(simulation.countCode(ResultCode::Ok, true) == 0);
     CHECK(simulation.countCode(ResultCode::RequestQuarantined, true) > 0);
     CHECK(simulation.countCode(ResultCode::RequestQuarantined, false) == 0);
@@ -85,7 +87,7 @@
   }
 }
 
-TEST_CASE("through agents, restarted entries run no deadly request while the "
+TEST_CASE("through agents, restarted entries run no crashing request while the "
           "key-value store is unavailable") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
@@ -95,7 +97,7 @@
     simulation.Scheduler.runUntil(begin + milliseconds(200));
     simulation.sendRepeatedly("deadly", milliseconds(70), begin + seconds(12));
     simulation.Scheduler.runUntil(begin + seconds(3));
-    unsigned before = simulation.deadlyCrashes();
+    unsigned before = simulation.crashCount();
     CHECK(before >= 1);
     CHECK(before <= MaxCrashes);
     // Kill the entries one by one, then all at once, then one together with two
@@ -112,11 +114,11 @@
     simulation.killAgent(simulation.Scheduler.below(AgentCount));
     simulation.killEntry(0);
     simulation.Scheduler.runUntil(begin + seconds(15));
-    CHECK(simulation.deadlyCrashes() == before);
+    CHECK(simulation.crashCount() == before);
   }
 }
 
-TEST_CASE("through agents, a deadly request crashes only a few engines while "
+TEST_CASE("through agents, a crashing request crashes only a few engines while "
           "entries are killed and disconnected") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
@@ -147,7 +149,7 @@
       });
     }
     simulation.Scheduler.runUntil(begin + seconds(16));
-    CHECK(simulation.deadlyCrashes() <= MaxCrashes);
+    CHECK(simulation.crashCount() <= MaxCrashes);
     CHECK(simulation.countCode(ResultCode::RequestQuarantined, false) == 0);
   }
 }
--- a/unittests/Routing/LeavingTest.cpp
+++ b/unittests/Routing/LeavingTest.cpp
@@ -61,7 +61,8 @@
   OneEndpoint fixture;
   fixture.Entry.onMessage(fixture.Id, Leaving{true}, Start);
   fixture.Entry.onLinkDown(fixture.Id, Start);
-  // The loss of the link excludes the endpoint for UnresponsiveTime.
+  // The loss of the link excludes the endpoint until UnresponsiveTime has
+  // passed or it replies.
   fixture.Entry.onTimer(Start + EntryLimits().UnresponsiveTime);
   fixture.Entry.onMessage(fixture.Id, ProbeReply{}, Start);
   CHECK(fixture.isProbed());
--- a/unittests/Routing/RequestSimulation.cpp
+++ b/unittests/Routing/RequestSimulation.cpp
@@ -351,8 +351,8 @@
         if (Agents[i].Engine != engine)
           return;
         Runs.push_back({name, Scheduler.now()});
-        if (!Deadly.empty() && name == Deadly) {
-          ++DeadlyCrashes;
+        if (!CrashingRequest.empty() && name == CrashingRequest) {
+          ++CrashCount;
           crashEngine(i);
           return;
         }
--- a/unittests/Routing/RequestSimulation.h
+++ b/unittests/Routing/RequestSimulation.h
@@ -81,12 +81,12 @@
   void setLeaving(std::size_t i, bool leaving);
   void cutLink(std::size_t entry, std::size_t agent);
   /// From now on each engine that runs \p name crashes.
-  void setDeadly(const std::string &name) { Deadly = name; }
+  void setCrashingRequest(const std::string &name) { CrashingRequest = name; }
   /// Crashes the engine of endpoint \p i with all its runs. The engine restarts
   /// after EngineDowntime; the agent keeps running and detects the crash.
   void crashEngine(std::size_t i);
-  /// Number of engines that the deadly request crashed.
-  unsigned deadlyCrashes() const { return DeadlyCrashes; }
+  /// Number of engines that the crashing request crashed.
+  unsigned crashCount() const { return CrashCount; }
   void setOutage(Duration span) { OutageUntil = Scheduler.now() + span; }
 
   /// Returns the complete response to \p name.
@@ -147,8 +147,8 @@
   FakeKeyValueStore Kv;
   std::uint64_t LastIncarnation = 0;
   TimePoint OutageUntil;
-  std::string Deadly;
-  unsigned DeadlyCrashes = 0;
+  std::string CrashingRequest;
+  unsigned CrashCount = 0;
 };
 
 } // namespace ospreyspur::test
--- a/unittests/Support/DamagedInputTest.cpp
+++ b/unittests/Support/DamagedInputTest.cpp
@@ -1,9 +1,9 @@
 //===- DamagedInputTest.cpp - parsers on damaged input --------------------===//
 //
-// Every parser of outside bytes that is ours gets valid texts with bytes
-// changed, removed, doubled and moved. It must give a value or a numbered
-// error, and what it accepts must read back. Seeds are fixed; nothing is random
-// between runs.
+// Each of the project's parsers of external input gets valid texts with bytes
+// changed, removed, copied to another place or cut off, or with extreme numbers
+// inserted. It must give a value or a numbered error, and what it accepts must
+// read back. Seeds are fixed; nothing is random between runs.
 //
 //===----------------------------------------------------------------------===//
 
