--- a/include/ospreyspur/Http/CallerApi.h
+++ b/include/ospreyspur/Http/CallerApi.h
@@ -33,7 +33,8 @@
 /// Returns the JSON body that reports \p code to a caller.
 std::string formatErrorBody(ResultCode code);
 
-/// The whole response that says \p code; Retry-After if \p retryAfter is set.
+/// The complete response for \p code. If the request did not run or the claim
+/// is unchecked, Retry-After is \p retryAfter in whole seconds, at least 1 s.
 HttpResponse makeErrorResponse(ResultCode code, Duration retryAfter);
 
 /// Returns the response that carries \p ticket.
--- a/include/ospreyspur/Http/HttpClient.h
+++ b/include/ospreyspur/Http/HttpClient.h
@@ -48,7 +48,8 @@
 /// Stops a run() early.
 class HttpRunHandle {
 public:
-  /// Closes the connection; run() returns soon after.
+  /// Cancels the pending operation; run() then closes the connection and
+  /// returns.
   void stop();
 
 private:
@@ -70,7 +71,8 @@
 
   /// Sends \p request on a new connection and streams the response to \p sink.
   /// Returns Ok if the response was complete, EndpointUnreachable if the
-  /// connection was never established, EndpointFailed if the server closed or
+  /// request was not sent because the connection was not established or the run
+  /// was stopped, EndpointFailed if the server closed or
   /// reset the connection before the response was complete, and AnswerBroken
   /// otherwise. \p idle is the timeout of each wait for the server.
   boost::asio::awaitable<ResultCode> run(HttpRequest request, HttpSink sink,
--- a/include/ospreyspur/Process/CrashLog.h
+++ b/include/ospreyspur/Process/CrashLog.h
@@ -1,7 +1,7 @@
-//===- CrashLog.h - log and metrics of quarantined requests -----*- C++ -*-===//
+//===- CrashLog.h - log and metrics of crashing requests --------*- C++ -*-===//
 //
-// Logs one line and increments one counter for each endpoint crash that is
-// attributed to a request.
+// Logs and counts each crash of an endpoint during a request, and each decision
+// of this or another entry to quarantine a request.
 //
 //===----------------------------------------------------------------------===//
 
--- a/include/ospreyspur/Process/DirectAttempt.h
+++ b/include/ospreyspur/Process/DirectAttempt.h
@@ -25,9 +25,10 @@
 struct AttemptHandlers {
   /// Whether the request may be written now.
   std::function<bool()> MaySend;
-  /// A response head was received on the connection. \p sentAt is when the
-  /// request was sent, or empty if the head is not the endpoint's response to
-  /// this request.
+  /// A response head was received on the connection. Not called for status
+  /// 421, which another incarnation of the endpoint sends. \p sentAt is when
+  /// the request was sent, or empty if the head is not the endpoint's response
+  /// to this request.
   std::function<void(const Pushback &, std::optional<TimePoint> sentAt)> OnHead;
   /// A part of the response was received.
   std::function<void()> OnData;
@@ -44,7 +45,8 @@
 
   /// Runs the attempt until it ends.
   boost::asio::awaitable<AttemptEnd> run();
-  /// Which side closed the connection; valid once run() has returned.
+  /// Whether the endpoint closed the connection early. Ours also if the
+  /// connection is still open. Valid once run() has returned.
   ConnectionEnd connectionEnd() const { return ClosedBy; }
 
 private:
--- a/include/ospreyspur/Process/DirectTraffic.h
+++ b/include/ospreyspur/Process/DirectTraffic.h
@@ -40,8 +40,9 @@
   /// but only for a short time. Errors: SettingInvalid.
   Result<void> start();
   void setSnapshot(const std::shared_ptr<const DirectSnapshot> &snapshot);
-  /// Starts the retry budget, which is shared with earlier incarnations of this
-  /// process and with listed entries from which no report has been received.
+  /// Starts the retry budget. Earlier incarnations of this process may have
+  /// spent a part of it, and listed entries from which no report has been
+  /// received share it.
   /// Call once, when the process starts.
   void onProcessStarted() { Node.onProcessStarted(monotonicNow()); }
   void setRetries(const RetryLimits &limits) { Node.setRetries(limits); }
@@ -80,8 +81,8 @@
   void logWaits();
   void logPushback();
   void logSharing();
-  static void logCut(const DirectCall &call, const StartAttempt &order,
-                     AttemptEnd end, Duration ran);
+  static void logEarlyClose(const DirectCall &call, const StartAttempt &order,
+                            AttemptEnd end, Duration ran);
   void logCrashes();
   void onCallerGone(CallId id);
   void finish(const DirectCall &call, ResultCode code);
--- a/include/ospreyspur/Process/EntryTraffic.h
+++ b/include/ospreyspur/Process/EntryTraffic.h
@@ -42,7 +42,8 @@
   /// Accepts no new connections; requests already received are served.
   void stopAccepting() { Server.stopAccepting(); }
 
-  /// Number of requests whose responses are not yet completely written.
+  /// Number of connections that have a request being read or handled or that
+  /// have not received their first request yet.
   std::size_t busyCount() const { return Server.busyCount(); }
 
 private:
--- a/include/ospreyspur/Process/OperatorClient.h
+++ b/include/ospreyspur/Process/OperatorClient.h
@@ -29,8 +29,8 @@
 };
 
 /// Sends \p command and prints the response. Returns the exit status of the
-/// process: 0 for success, 1 if the command was refused, 2 if it is malformed,
-/// 3 if it is not known whether the command took effect.
+/// process: 0 for success, 1 if the command was refused or could not be sent, 2
+/// if it is malformed, 3 if it is not known whether the command took effect.
 int runOperatorCommand(const OperatorCommand &command);
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Process/RankAgent.h
+++ b/include/ospreyspur/Process/RankAgent.h
@@ -122,7 +122,9 @@
   DemandMeter Demand;
   /// The parameters of the service's engine, once read.
   std::optional<EngineCosts> EngineSettings;
-  /// When this coordinator last had current reports of all ranks.
+  /// When this coordinator last had current reports of all ranks. Also set to
+  /// the present time while this agent does not coordinate and each time that
+  /// the lease is suspended.
   TimePoint CompleteAt;
   TimePoint NextSettingsRead;
   TimePoint NextPlan;
@@ -134,7 +136,8 @@
   MapOrderQueue MapQueue;
   /// The map that this agent last received from a coordinator.
   ReceivedMap LastMap;
-  /// Direct links to endpoints, for ranks whose agents send no reports.
+  /// Direct links to ranks by address: to read ranks whose agents send no
+  /// reports, and for Hold orders and retries.
   std::map<TcpAddress, std::shared_ptr<RankLink>> DirectLinks;
   std::map<unsigned, std::shared_ptr<RankLink>> DirectRanks;
   /// Ranks to which a retry is in flight that bypasses their agent.
--- a/include/ospreyspur/Process/RankLink.h
+++ b/include/ospreyspur/Process/RankLink.h
@@ -22,7 +22,7 @@
       : Client(ioc, std::move(address)) {}
 
   /// Reads the rank's state with its expert placement and, if \p withCounts,
-  /// how often each expert was chosen. Errors: PlatformTimeout,
+  /// how often each expert was selected. Errors: PlatformTimeout,
   /// PlatformRefused, PlatformBadAnswer.
   boost::asio::awaitable<Result<RankStatus>> readStatus(bool withCounts);
 
--- a/include/ospreyspur/Rpc/PeerServer.h
+++ b/include/ospreyspur/Rpc/PeerServer.h
@@ -35,7 +35,8 @@
   /// Sends \p message on \p link; drops the message if the link has closed.
   void send(LinkId link, const Message &message);
 
-  /// Closes all links.
+  /// Stops listening and closes all links; waits until they have ended, for up
+  /// to 500 ms.
   void stop();
 
 private:
--- a/lib/Http/HttpClient.cpp
+++ b/lib/Http/HttpClient.cpp
@@ -100,11 +100,12 @@
 /// connection indicates that the server may have exited; a timeout or a
 /// malformed response does not.
 static ResultCode classifyFailure(const boost::system::error_code &ec) {
-  bool isCut = ec == asio::error::connection_reset ||
-               ec == asio::error::broken_pipe || ec == asio::error::eof ||
-               ec == http::error::end_of_stream ||
-               ec == http::error::partial_message;
-  return isCut ? ResultCode::EndpointFailed : ResultCode::AnswerBroken;
+  bool isClosedByServer =
+      ec == asio::error::connection_reset || ec == asio::error::broken_pipe ||
+      ec == asio::error::eof || ec == http::error::end_of_stream ||
+      ec == http::error::partial_message;
+  return isClosedByServer ? ResultCode::EndpointFailed
+                          : ResultCode::AnswerBroken;
 }
 
 asio::awaitable<ResultCode>
--- a/lib/Process/AgentTraffic.cpp
+++ b/lib/Process/AgentTraffic.cpp
@@ -159,7 +159,8 @@
   apply(Node.onRunEnd(id, code, monotonicNow()));
 }
 
-/// Whether the endpoint has ended, or only cut the answer to \p id.
+/// Applies the rate limit, backoff and leaving state in \p head to the node,
+/// and logs their changes.
 void AgentTraffic::takePushback(RequestId id, const HttpResponseHead &head) {
   Pushback pushback =
       readPushback({head.Status, headerValues(head.Fields, RateHeader),
@@ -183,6 +184,7 @@
 
 /// Detects the exit of an endpoint that is leaving. As such an endpoint gets no
 /// requests that would fail, an idle connection to it is kept open instead.
+/// After MaxLeavingTime the endpoint is treated as exited even if it runs.
 asio::awaitable<void> AgentTraffic::awaitExit() {
   TimePoint end = monotonicNow() + MaxLeavingTime;
   EndpointLiveness liveness = EndpointLiveness::Alive;
@@ -199,6 +201,8 @@
     apply(Node.onEndpointExited(monotonicNow()));
 }
 
+/// Checks whether the endpoint has exited or only closed the connection of the
+/// request \p id.
 asio::awaitable<ResultCode> AgentTraffic::classifyFailure(RequestId id) {
   EndpointLiveness liveness = co_await checkLiveness(Context, EndpointAddress);
   const char *word = toString(liveness);
--- a/lib/Process/CrashLog.cpp
+++ b/lib/Process/CrashLog.cpp
@@ -1,4 +1,4 @@
-//===- CrashLog.cpp - log and metrics of quarantined requests -------------===//
+//===- CrashLog.cpp - log and metrics of crashing requests ----------------===//
 //
 // See CrashLog.h.
 //
--- a/lib/Process/DirectAttempt.cpp
+++ b/lib/Process/DirectAttempt.cpp
@@ -260,8 +260,8 @@
     ClosedBy = ConnectionEnd::Endpoint;
 }
 
-/// The result of an attempt whose connection failed. Drops a partial event, as
-/// the next attempt sends it from its start.
+/// The result of an attempt without a usable complete response. Drops a partial
+/// event, as the next endpoint sends it from its start.
 AttemptEnd DirectAttempt::abortAttempt() const {
   Call.Events.dropIncompleteEvent();
   return Exchange.hasBegun() ? AttemptEnd::BrokeOff : AttemptEnd::Lost;
--- a/lib/Process/DirectLiveness.cpp
+++ b/lib/Process/DirectLiveness.cpp
@@ -21,8 +21,8 @@
 using namespace ospreyspur;
 namespace asio = boost::asio;
 
-/// Logs one line for each request to which an endpoint crash is attributed, and
-/// passes changes of the quarantine on.
+/// Logs each crash of an endpoint during a request and each new quarantine, and
+/// passes changes of the quarantine to ReportQuarantine.
 void DirectTraffic::logCrashes() {
   ospreyspur::logCrashes(Node.takeCrashLogRecords(), Node.crashes(), Measures);
   std::uint64_t change = Node.crashes().quarantineChanges();
--- a/lib/Process/DirectRole.cpp
+++ b/lib/Process/DirectRole.cpp
@@ -70,8 +70,8 @@
       Watch(Threads.control(), settings.File,
             [this](SettingsReader &reader) { reload(reader); }) {}
 
-/// Applies changed retry limits at once; changed addresses take effect at the
-/// next start.
+/// Applies changed retry limits at once; all other changed settings take effect
+/// at the next start.
 void DirectProcess::reload(SettingsReader &reader) {
   DirectSettings next = readDirectSettings(reader);
   reader.finish();
--- a/lib/Process/DirectTraffic.cpp
+++ b/lib/Process/DirectTraffic.cpp
@@ -29,9 +29,10 @@
 /// configuration and the endpoints, which takes some 30 ms if the store
 /// responds.
 static constexpr Duration MaxStartWait = std::chrono::milliseconds(400);
-/// Retry-After sent by an entry that could not read them. The store is then
-/// unavailable, and callers have few attempts; they wait for up to a third of
-/// the time to their deadline.
+/// Retry-After sent by an entry that could not read the configuration and the
+/// endpoints. The store is then unavailable, and callers should not use up
+/// their few attempts; they wait for up to a third of the time to their
+/// deadline.
 static constexpr Duration UnconfiguredRetryAfter = std::chrono::seconds(2);
 
 /// The name of \p end in logs and metrics.
@@ -315,15 +316,16 @@
                                : -1)
                      .with("number", order.Number);
   if (running.connectionEnd() == ConnectionEnd::Endpoint)
-    logCut(call, order, end, monotonicNow() - began);
+    logEarlyClose(call, order, end, monotonicNow() - began);
   call.IsResponseSent = end == AttemptEnd::Complete;
   apply(Node.onAttemptEnded(id, end, monotonicNow(), running.connectionEnd()));
 }
 
 /// Logs one line for each attempt whose endpoint closed the connection before
 /// its response was complete.
-void DirectTraffic::logCut(const DirectCall &call, const StartAttempt &order,
-                           AttemptEnd end, Duration ran) {
+void DirectTraffic::logEarlyClose(const DirectCall &call,
+                                  const StartAttempt &order, AttemptEnd end,
+                                  Duration ran) {
   LOG(INFO) << LogEvent("attempt.cut")
                    .with("id", call.Request.Label)
                    .with("digest", toHex(call.Request.Digest))
--- a/lib/Process/LivenessCheck.cpp
+++ b/lib/Process/LivenessCheck.cpp
@@ -25,10 +25,10 @@
 /// take; inside a region a connection is established within milliseconds.
 static constexpr Duration CheckTimeout = std::chrono::milliseconds(300);
 
-/// Checks of an endpoint that accepts connections and drops them, and the time
-/// between two checks. A connection that stays open for CheckInterval belongs
-/// to a running process: an exiting process closes all its sockets within a
-/// millisecond.
+/// How often an endpoint that accepts connections and closes them at once is
+/// checked, and the time between two checks. A connection that stays open for
+/// CheckInterval belongs to a running process: an exiting process closes all
+/// its sockets within a millisecond.
 static constexpr unsigned MaxLivenessChecks = 3;
 static constexpr Duration CheckInterval = std::chrono::milliseconds(25);
 
--- a/lib/Process/RankAgent.cpp
+++ b/lib/Process/RankAgent.cpp
@@ -17,14 +17,14 @@
 namespace asio = boost::asio;
 
 /// Time between two status queries to the rank; about one step. Queries on the
-/// same host cost nothing.
+/// same host are not charged for.
 static constexpr Duration ReadInterval = std::chrono::milliseconds(60);
 /// Share of the coordinator's link that a group's demand samples may use. The
 /// link also carries the group's orders, which must not be delayed.
 static constexpr double SampleShare = 0.2;
-/// The same for a group so large that samples would otherwise be too rare. In
-/// the platform's large deployment a rank is then sampled every 0.8 s instead
-/// of every 2 s.
+/// The share for a group so large that with SampleShare its ranks would be
+/// sampled too rarely. In the platform's large deployment a rank is then
+/// sampled every 0.8 s instead of every 2 s.
 static constexpr double LargestSampleShare = 0.5;
 /// Share of the coordinator's link that maps may use. Maps are outgoing traffic
 /// and samples incoming, so the shares do not add up.
@@ -101,7 +101,9 @@
   }
 }
 
-/// Handles messages from the coordinator.
+/// Handles messages that agents send on this agent's outgoing links. A sender
+/// may be an earlier coordinator; forwardOrder() refuses orders of an earlier
+/// lease.
 void RankAgent::onCoordinatorMessage(const EndpointId &from,
                                      const Message &message) {
   if (const auto *order = std::get_if<MapOrder>(&message)) {
@@ -157,8 +159,8 @@
 
 /// Checks whether this agent still holds the group's lease. A coordinator that
 /// lacks current reports of some rank for MaxIncomplete, or whose orders were
-/// fenced, doubts its lease: the missing ranks may report to another
-/// coordinator.
+/// fenced, suspends its lease until the store confirms it: the missing ranks
+/// may report to another coordinator.
 void RankAgent::checkLease(TimePoint now) {
   if (Member && Member->Lease.isConfirmed(now))
     Consent.onConfirmed();
@@ -257,8 +259,9 @@
   watchForStall(status);
 }
 
-/// Takes the lease from the coordinator of a stalled group, which may have
-/// crashed or frozen in the middle of a change.
+/// If the group is stalled and its ranks check fencing tokens, queries the
+/// coordinator, which may have crashed or frozen in the middle of a change, and
+/// takes over its lease if CoordinatorWatch advises it.
 void RankAgent::watchForStall(const RankStatus &status) {
   TimePoint now = monotonicNow();
   if (!Stall.isStalled(status, now)) {
--- a/lib/Process/RankBypass.cpp
+++ b/lib/Process/RankBypass.cpp
@@ -93,11 +93,11 @@
 }
 
 /// The direct link on which a retry of an order is sent; null if the retry is
-/// sent to the rank's agent, as the first copy was. On the agent's link a TCP
-/// retransmission delays every later copy, too, so every second copy is sent to
-/// the rank itself, but only one at a time, as such calls are charged for.
-/// Copies on two links may overtake each other; only ranks that compare fencing
-/// tokens then keep the newest order.
+/// sent to the rank's agent, as the first attempt was. On the agent's link a
+/// TCP retransmission delays every later attempt, too, so every second attempt
+/// is sent to the rank itself, but only one at a time, as calls to a rank on
+/// another host are charged for. Attempts on two links may overtake each other;
+/// only ranks that compare fencing tokens then keep the newest order.
 std::shared_ptr<RankLink>
 RankAgent::chooseRetryLink(const SendMapOrder &action) {
   auto status = Switch.ranks().find(action.Rank);
@@ -110,17 +110,18 @@
   return directLink(address.value());
 }
 
-/// The direct link on which the first Hold order of a change is sent; null for
-/// other orders. If the order went through an agent whose host freezes while it
-/// forwards the order, the rank that holds the step could not be reached. So
-/// the order is sent to the rank itself, though such calls are charged for. If
-/// this host freezes instead, other agents can release the step.
+/// The direct link on which the Hold order of a change and its retries are
+/// sent; null for other orders. If the order went through an agent whose host
+/// freezes while it forwards the order, the rank that holds the step could not
+/// be reached. So the order is sent to the rank itself, though calls to a rank
+/// on another host are charged for. If this host freezes instead, other agents
+/// can release the step.
 std::shared_ptr<RankLink>
 RankAgent::chooseHoldLink(const SendMapOrder &action) {
-  bool isFirstHold = action.Order.Kind == MapOrderKind::Hold &&
-                     Switch.phase() == SwitchPhase::Holding;
+  bool isHoldOfChange = action.Order.Kind == MapOrderKind::Hold &&
+                        Switch.phase() == SwitchPhase::Holding;
   auto status = Switch.ranks().find(action.Rank);
-  if (!isFirstHold || status == Switch.ranks().end())
+  if (!isHoldOfChange || status == Switch.ranks().end())
     return nullptr;
   Result<TcpAddress> address = parseAddress(status->second.Endpoint);
   if (!address)
--- a/lib/Process/RankLink.cpp
+++ b/lib/Process/RankLink.cpp
@@ -88,6 +88,6 @@
       std::move(request), CallTimeout, ResendPolicy::AfterLostConnection);
   if (response)
     co_return platform::readOrderResult(response.value().result_int());
-  // Nothing was sent if there was no connection.
+  // The order may have arrived, unless there was no connection to send it on.
   co_return MapOrderResult::Unanswered;
 }
--- a/lib/Process/RankPlans.cpp
+++ b/lib/Process/RankPlans.cpp
@@ -14,7 +14,7 @@
 
 using namespace ospreyspur;
 
-// docs/PLATFORM.md describes the traffic for which these values were set.
+// docs/PLATFORM.md describes the traffic that these values assume.
 
 /// Time between two plans.
 static constexpr Duration MinPlanInterval = std::chrono::milliseconds(100);
@@ -24,14 +24,15 @@
 static constexpr Duration SettingsReadRetry = std::chrono::seconds(1);
 /// Timeout of such a read. The parameters are part of the whole configuration,
 /// some 0.3 MB, and are read over a narrow link that is busiest just after a
-/// large group was formed. With a timeout of 1 s, abandoned and restarted reads
-/// filled the link permanently, and the group kept its initial map.
+/// large group was formed. With a timeout of 1 s, reads were abandoned and
+/// restarted, which filled the link permanently, and the group never left its
+/// initial map.
 static constexpr Duration SettingsReadTimeout = std::chrono::seconds(5);
 /// Smallest reduction of the skew for which the map is changed; below this,
 /// copying experts costs more than the change gains.
 static constexpr double MinSkewGain = 0.2;
-/// Above this skew, steps are so slow that a change may replace more experts at
-/// once; a newly formed group has a skew of 3.3.
+/// Above this skew, steps are so slow that one change may replace more experts.
+/// A newly formed group exceeds it, with a skew of 3.3.
 static constexpr double HighSkew = 2.5;
 
 void RankAgent::readEngineSettings() {
@@ -98,8 +99,9 @@
                                        Switch.slowdowns());
 }
 
-/// Logs one line a second about the group's steps and load imbalance, which
-/// shows pauses of the group.
+/// Sets the metrics of the group's steps and load imbalance and logs them,
+/// which shows pauses of the group. Runs at most once a second and not while a
+/// change is in progress.
 void RankAgent::logGroup() {
   TimePoint now = monotonicNow();
   if (now < NextGroupLog || !Switch.canBegin(now) || !matchesEngineSettings())
--- a/lib/Rpc/MapCodec.cpp
+++ b/lib/Rpc/MapCodec.cpp
@@ -41,8 +41,9 @@
   return out;
 }
 
-/// A byte holds the largest of them; the others are rounded alike. A sample is
-/// used for shares, for which an eighth of a percent is more than enough.
+/// Encodes one byte for each count: shifts all counts right until the largest
+/// fits into a byte, and truncates the others alike. A sample is used for
+/// shares, for which an eighth of a percent is more than enough.
 static void putPicks(const std::vector<std::uint32_t> &in,
                      wire::RankReport &out) {
   if (in.empty())
@@ -143,9 +144,9 @@
   return it == end ? out : nullptr;
 }
 
-/// Encodes each replaced expert as the distance to the number of the previous
-/// place and the new expert. Most distances are small, so a place takes about
-/// three bytes.
+/// Encodes each replaced expert as two numbers: the distance of its place's
+/// number to that of the previous place, and the new expert. Most distances are
+/// small, so a place takes about three bytes.
 static void putReplaced(const std::vector<ReplacedExpert> &in,
                         wire::MapOrder &out) {
   if (in.empty())
--- a/test/standin/CrashableEndpoint.cpp
+++ b/test/standin/CrashableEndpoint.cpp
@@ -50,7 +50,7 @@
     if (exchange.request().target() == "/need") {
       json::object in = bodyOf(exchange);
       PushbackState.configure(in, monotonicNow());
-      if (numberOf(in, "leaving") > 0)
+      if (integerOf(in, "leaving") > 0)
         asio::co_spawn(Context, exitLater(), asio::detached);
       co_await reply(exchange, 200, json::object());
       co_return;
--- a/test/standin/Engine.cpp
+++ b/test/standin/Engine.cpp
@@ -93,8 +93,8 @@
 
   asio::awaitable<void> handleFault(HttpExchange &exchange) {
     json::object in = bodyOf(exchange);
-    Group.Ranks[Index].IsFrozen = numberOf(in, "freeze") != 0;
-    Group.Ranks[Index].Model.setCanLoad(numberOf(in, "can_load", 1) != 0);
+    Group.Ranks[Index].IsFrozen = integerOf(in, "freeze") != 0;
+    Group.Ranks[Index].Model.setCanLoad(integerOf(in, "can_load", 1) != 0);
     co_await reply(exchange, 200, json::object());
   }
 
@@ -118,7 +118,7 @@
     std::size_t skip = resume.empty() ? 0 : std::stoull(resume);
     Mailbox<std::string> inbox(Context);
     BatchItem item{textOf(in, "prompt"), 0,
-                   numberOf(in, "max_tokens", DefaultTokens), &inbox};
+                   integerOf(in, "max_tokens", DefaultTokens), &inbox};
     auto slot = Batch.insert(Batch.end(), item);
     bool isOpen = co_await exchange.beginStream(200, "text/event-stream");
     for (std::int64_t i = 0; isOpen && i < item.Count; ++i) {
--- a/test/standin/FakePushback.cpp
+++ b/test/standin/FakePushback.cpp
@@ -27,18 +27,18 @@
 static constexpr double RateSlack = 5;
 
 void FakePushback::configure(const json::object &in, TimePoint now) {
-  if (std::int64_t ms = numberOf(in, "rest_ms"); ms > 0) {
+  if (std::int64_t ms = integerOf(in, "rest_ms"); ms > 0) {
     if (now >= BackoffUntil)
       BackoffAnnouncedAt.reset();
     BackoffUntil = now + milliseconds(ms);
   }
-  if (std::int64_t ms = numberOf(in, "for_ms"); ms > 0) {
+  if (std::int64_t ms = integerOf(in, "for_ms"); ms > 0) {
     // Senders get the grace period for a new rate limit, too.
     RateAnnouncedAt.reset();
-    Rate = double(numberOf(in, "rate", 1));
+    Rate = double(integerOf(in, "rate", 1));
     RateUntil = now + milliseconds(ms);
   }
-  if (numberOf(in, "leaving") > 0)
+  if (integerOf(in, "leaving") > 0)
     IsLeaving = true;
 }
 
--- a/test/standin/LockStepGroup.h
+++ b/test/standin/LockStepGroup.h
@@ -1,8 +1,8 @@
 //===- LockStepGroup.h - lock-step simulation of ranks ----------*- C++ -*-===//
 //
-// A rank begins a step once all ranks have begun the step before. Counts steps
-// in which ranks used different maps, and computes the load imbalance of each
-// step.
+// A rank begins a step once all ranks have begun the previous step and that
+// step is finished. Counts steps in which ranks used different maps, and
+// computes the load imbalance of each step.
 //
 //===----------------------------------------------------------------------===//
 
--- a/test/standin/Platform.cpp
+++ b/test/standin/Platform.cpp
@@ -27,7 +27,7 @@
 using namespace ospreyspur;
 
 namespace {
-struct Entry {
+struct StoredItem {
   std::string Value;
   std::uint64_t Revision = 0;
   std::uint64_t Created = 0;
@@ -62,10 +62,10 @@
     std::string path(url.encoded_path());
     ++Calls[path.substr(0, path.find_last_not_of("0123456789") + 1)];
     if (path == "/fault") {
-      OutageUntil =
-          monotonicNow() + std::chrono::milliseconds(numberOf(in, "outage_ms"));
-      DropAnswers = numberOf(in, "drop_answers");
-      DelayMs = numberOf(in, "delay_ms");
+      OutageUntil = monotonicNow() +
+                    std::chrono::milliseconds(integerOf(in, "outage_ms"));
+      ResponsesToDrop = integerOf(in, "drop_answers");
+      DelayMs = integerOf(in, "delay_ms");
       co_await reply(exchange, 200, json::object());
       co_return;
     }
@@ -87,8 +87,8 @@
     unsigned status = path == "/ospreyspur/kv-watch"
                           ? co_await watch(url.params(), out)
                           : perform(path, url.params(), in, out);
-    if (path == "/ospreyspur/kv-txn" && DropAnswers > 0) {
-      --DropAnswers;
+    if (path == "/ospreyspur/kv-txn" && ResponsesToDrop > 0) {
+      --ResponsesToDrop;
       exchange.abort();
       co_return;
     }
@@ -129,7 +129,7 @@
     return 400;
   }
 
-  json::object itemOf(const std::string &key, const Entry &entry) const {
+  json::object itemOf(const std::string &key, const StoredItem &entry) const {
     return {{"key", key},
             {"value", ospreyspur::platform::encodeBase64(entry.Value)},
             {"rev", entry.Revision},
@@ -168,7 +168,7 @@
     bool isMet = true;
     for (const json::value &it : arrayOf(in, "expect_rev")) {
       std::string key = textOf(it.as_object(), "key");
-      auto expected = std::uint64_t(numberOf(it.as_object(), "rev"));
+      auto expected = std::uint64_t(integerOf(it.as_object(), "rev"));
       isMet = isMet && revisionOf(key) == expected;
       if (Entries.contains(key))
         present.push_back(itemOf(key, Entries[key]));
@@ -179,7 +179,7 @@
     }
     const json::array &puts = arrayOf(in, "puts");
     for (const json::value &it : puts) {
-      auto lease = std::uint64_t(numberOf(it.as_object(), "lease"));
+      auto lease = std::uint64_t(integerOf(it.as_object(), "lease"));
       if (lease != 0 && !Leases.contains(lease))
         return 404;
     }
@@ -188,7 +188,7 @@
       write(
           textOf(row, "key"),
           ospreyspur::platform::decodeBase64(textOf(row, "value")).value_or(""),
-          std::uint64_t(numberOf(row, "lease")));
+          std::uint64_t(integerOf(row, "lease")));
     }
     for (const json::value &it : arrayOf(in, "remove"))
       remove(std::string(it.as_string()));
@@ -199,7 +199,7 @@
 
   void write(const std::string &key, const std::string &value,
              std::uint64_t lease) {
-    Entry &entry = Entries[key];
+    StoredItem &entry = Entries[key];
     entry.Value = value;
     entry.Revision = ++LastRevision;
     entry.Lease = lease;
@@ -219,9 +219,9 @@
   }
 
   unsigned grant(const json::object &in, json::object &out) {
-    Duration span = std::chrono::milliseconds(numberOf(in, "ttl_ms"));
+    Duration span = std::chrono::milliseconds(integerOf(in, "ttl_ms"));
     Leases[++LastLease] = {span, monotonicNow() + span};
-    out = {{"lease", LastLease}, {"ttl_ms", numberOf(in, "ttl_ms")}};
+    out = {{"lease", LastLease}, {"ttl_ms", integerOf(in, "ttl_ms")}};
     return 200;
   }
 
@@ -280,7 +280,7 @@
       remove(it);
   }
 
-  std::map<std::string, Entry> Entries;
+  std::map<std::string, StoredItem> Entries;
   std::map<std::uint64_t, Lease> Leases;
   std::vector<Change> History;
   std::map<std::string, std::uint64_t> Calls;
@@ -288,7 +288,7 @@
   std::uint64_t LastLease = 0;
   std::vector<std::shared_ptr<asio::steady_timer>> Waiting;
   TimePoint OutageUntil;
-  std::int64_t DropAnswers = 0;
+  std::int64_t ResponsesToDrop = 0;
   std::int64_t DelayMs = 0;
 };
 } // namespace
--- a/test/standin/Service.cpp
+++ b/test/standin/Service.cpp
@@ -30,7 +30,7 @@
       json::object in = bodyOf(exchange);
       pushback.configure(in, monotonicNow());
       co_await reply(exchange, 200, out);
-      if (numberOf(in, "leaving") > 0) {
+      if (integerOf(in, "leaving") > 0) {
         co_await pause(LeaveMs);
         ::_exit(0);
       }
--- a/test/standin/Standins.h
+++ b/test/standin/Standins.h
@@ -33,8 +33,8 @@
 json::object bodyOf(const ospreyspur::HttpExchange &exchange);
 
 /// An integer field of \p in, or \p def.
-std::int64_t numberOf(const json::object &in, std::string_view key,
-                      std::int64_t def = 0);
+std::int64_t integerOf(const json::object &in, std::string_view key,
+                       std::int64_t def = 0);
 
 /// A text field of \p in, or "".
 std::string textOf(const json::object &in, std::string_view key);
@@ -58,7 +58,8 @@
 
 /// Runs a plain service that counts runs by the request's id. With \p history
 /// the service exits when it runs the deadly body, and the file gets a line for
-/// each run: "deadly" or the request's id.
+/// each run, "deadly" or the request's id, and one for each violation of
+/// pushback.
 int runService(const std::string &listen, std::int64_t delayMs,
                const std::string &history);
 
@@ -83,7 +84,8 @@
   std::string Listen;
   std::string Platform;
   std::string Name;
-  /// A line for each run: the endpoint's id and the request's.
+  /// A line for each run: the endpoint's id and the request's id or "deadly".
+  /// Each violation of pushback adds a line, too (see FakePushback).
   std::string History;
 };
 
--- a/test/standin/main.cpp
+++ b/test/standin/main.cpp
@@ -27,8 +27,8 @@
   return !ec && in.is_object() ? in.get_object() : json::object();
 }
 
-std::int64_t standin::numberOf(const json::object &in, std::string_view key,
-                               std::int64_t def) {
+std::int64_t standin::integerOf(const json::object &in, std::string_view key,
+                                std::int64_t def) {
   const json::value *it = in.if_contains({key.data(), key.size()});
   return it && it->is_number() ? it->to_number<std::int64_t>() : def;
 }
--- a/unittests/FakeKeyValueStore.h
+++ b/unittests/FakeKeyValueStore.h
@@ -42,7 +42,7 @@
   }
 
 private:
-  struct Entry {
+  struct StoredItem {
     std::string Value;
     Revision At;
     Duration Lease{};
@@ -56,7 +56,7 @@
     return {ResultCode::Ok, it->second.At, it->second.Value};
   }
 
-  std::map<std::string, Entry> Entries;
+  std::map<std::string, StoredItem> Entries;
   Revision Last;
 };
 
--- a/unittests/Process/BackoffEndpointTest.cpp
+++ b/unittests/Process/BackoffEndpointTest.cpp
@@ -40,8 +40,8 @@
   return n;
 }
 
-// Guards against entries that prefer an endpoint that refuses everything again
-// after 100 ms, as no requests run there.
+// Guards against entries that, 100 ms after a refusal, prefer the endpoint in
+// backoff again because no requests run there.
 TEST_CASE("an endpoint in backoff gets no requests until the backoff ends") {
   PushbackSimulation simulation(
       {refuseWithRetryAfter, serveRequest, serveRequest});
--- a/unittests/Process/CrashingRequestTest.cpp
+++ b/unittests/Process/CrashingRequestTest.cpp
@@ -5,8 +5,9 @@
 // any entry with a new request id. If entries attribute a lost attempt only to
 // the endpoint and forget the attempt with the call, nothing stops the request:
 // eleven endpoints crashed in eight seconds and whole groups stalled. Real
-// entries run in front of endpoints that crash on one request body; the request
-// must not be sent on after the third crash.
+// entries run in front of endpoints that crash on one request body. The request
+// must not be sent on after the third crash; attempts that are in flight then
+// may crash three more endpoints.
 //
 //===----------------------------------------------------------------------===//
 
--- a/utils/bench/PickerSimulation.h
+++ b/utils/bench/PickerSimulation.h
@@ -97,7 +97,7 @@
   PickerSimulation(const Deployment &deployment, const Method &method,
                    std::uint64_t seed);
 
-  /// Runs until all arrivals have ended.
+  /// Runs until no more calls arrive and all calls have ended.
   PickerResult run();
 
 private:
--- a/utils/bench/bench.cpp
+++ b/utils/bench/bench.cpp
@@ -237,9 +237,9 @@
     return;
   double before = residentBytes();
   std::vector<std::unique_ptr<PeerClient>> clients;
-  std::atomic<std::size_t> answered = 0;
+  std::atomic<std::size_t> failed = 0;
   for (std::size_t i = 0; i < count; ++i) {
-    PeerClientHandlers handlers{[](const auto &) {}, [&] { ++answered; }};
+    PeerClientHandlers handlers{[](const auto &) {}, [&] { ++failed; }};
     // gRPC would share one connection among clients with the same address.
     std::string address = "127.0." + std::to_string(1 + i / 250) + "." +
                           std::to_string(1 + i % 250) + ":7990";
@@ -253,7 +253,7 @@
   double idle = double(std::clock() - cpu) / CLOCKS_PER_SEC / 12;
   std::printf("links=%zu failed %zu: %.0f bytes per link for both ends, idle "
               "%.3f%% of a core\n",
-              count, answered.load(), (after - before) / double(count),
+              count, failed.load(), (after - before) / double(count),
               idle * 100);
 }
 
