--- a/include/ospreyspur/Experts/ChangeBudget.h
+++ b/include/ospreyspur/Experts/ChangeBudget.h
@@ -4,10 +4,10 @@
 // that follows the random variation of the latest samples causes copies without
 // benefit. Both costs are proportional to the time that a rank takes to copy
 // one expert. The size of a change and the minimum gain of a copy therefore
-// follow from that time, which the engine's operators configure. With one
-// minimum gain for all groups, tuned for experts that take 0.15 s, a group of
-// 63 ranks whose experts take 14 ms ended at an imbalance of 1.5 with 60
-// copies; 220 copies reach 1.12.
+// follow from that time, which the engine's operators configure. A minimum gain
+// that suits experts of 0.15 s is too high for experts of 14 ms: a group of 63
+// ranks with such experts ended at an imbalance of 1.5 with 60 copies; 220
+// copies reach 1.12.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,7 +30,8 @@
   /// copies. Where copies are short, several small changes therefore cost more
   /// engine iterations than one large change. Where one copy exceeds this time,
   /// the opposite holds: with experts of 0.4 s, two copies per rank after a
-  /// shift scored 0.70 under steady load, one copy scored 0.81.
+  /// shift reached a score of 0.70 under steady load, one copy 0.81; the higher
+  /// score is the better one.
   static constexpr Duration CopyTimePerChange = std::chrono::milliseconds(60);
   /// Minimum gain of a copy, as a fraction of a set's mean load, if copying an
   /// expert takes ExpensiveCopyTime or longer. Shorter copies need
@@ -42,8 +43,10 @@
   /// unknown.
   explicit ChangeBudget(Duration copyTime) : CopyTime(copyTime) {}
 
-  /// Number of new experts that a change may bring to a rank, over all sets.
+  /// Number of new experts that a change may bring to a rank, over all sets. If
+  /// the copy time is unknown: 1, or 2 if the change is urgent.
   std::size_t newPerRank(bool isUrgent) const;
+  /// Minimum gain of a copy; MinGain if the copy time is unknown.
   double minGain() const;
 
 private:
--- a/include/ospreyspur/Experts/CoordinatorWatch.h
+++ b/include/ospreyspur/Experts/CoordinatorWatch.h
@@ -4,7 +4,8 @@
 // may be working on the stall, or its orders may be slow. A member that
 // suspects its coordinator queries it first and takes the lease over only if
 // there is no reply. Members wait in the order of their ranks, so that usually
-// only one of them acts.
+// only one of them acts. A coordinator that has not ended the stall within
+// MaxTrustTime loses the lease even if it replies, without any such wait.
 //
 //===----------------------------------------------------------------------===//
 
--- a/include/ospreyspur/Experts/DemandMeter.h
+++ b/include/ospreyspur/Experts/DemandMeter.h
@@ -1,8 +1,8 @@
 //===- DemandMeter.h - current demand for each expert -----------*- C++ -*-===//
 //
 // Adds up the demand samples of a group's ranks. Demand stays similar for
-// seconds and then shifts abruptly, each time in another part. A sum that only
-// decays mixes old and new demand: with 63 ranks a shift moves 0.23 of the
+// seconds and then shifts abruptly, each time for other experts. A sum that
+// only decays mixes old and new demand: with 63 ranks a shift moves 0.23 of the
 // demand, and a sum with a half-life of 0.4 s still consisted of half old
 // demand after the first map change, so that maps planned for an imbalance of
 // 1.45 took effect at 1.65. The most recent samples are therefore compared with
@@ -28,9 +28,10 @@
   /// time. Before that, the half-life equals the time since the last shift.
   Duration HalfLife = std::chrono::milliseconds(800);
   Duration ShortestHalfLife = std::chrono::milliseconds(150);
-  /// Number of recent samples that are compared with the sum. In a group of 63
-  /// ranks, eight samples of one rank each differed from the group's demand by
-  /// 0.04, sixteen by 0.03. In a small group they cover every rank.
+  /// Number of recent samples that are compared with the sum. More samples have
+  /// a smaller random error: in a group of 63 ranks, eight samples of one rank
+  /// each differed from the group's demand by 0.04, sixteen by 0.03. In a small
+  /// group, the recent samples cover every rank.
   std::size_t RecentSamples = 12;
   /// The recent samples contradict the sum if they differ from it by more than
   /// this fraction of the demand and by more than DifferenceFactor times the
@@ -77,14 +78,14 @@
 private:
   using Counts = std::vector<std::uint32_t>;
 
-  void fade(TimePoint now);
+  void decay(TimePoint now);
   void compare(TimePoint now);
   double distance() const;
   bool isContradicted(double difference) const;
 
   DemandLimits Limits;
   std::vector<double> Demand;
-  TimePoint FadedAt;
+  TimePoint DecayedAt;
   /// The most recent samples, which Demand includes, and their sum.
   std::deque<Counts> RecentCounts;
   std::vector<double> RecentSum;
--- a/include/ospreyspur/Experts/DemandSampler.h
+++ b/include/ospreyspur/Experts/DemandSampler.h
@@ -25,8 +25,8 @@
   Duration MinInterval = std::chrono::milliseconds(110);
   /// Longest desired interval. Demand shifts every few seconds; samples at
   /// longer intervals report one shift after the next one has already occurred,
-  /// so that plans follow chance. A larger part of the link is used to avoid
-  /// this.
+  /// so that plans do not match the demand. Sampling then uses up to
+  /// MaxBytesPerSecond to avoid this.
   Duration MaxDesiredInterval = std::chrono::milliseconds(800);
   /// Longest time that a sample covers: about two engine iterations of a busy
   /// group.
@@ -54,17 +54,17 @@
   Duration interval(unsigned ranks, std::size_t counts) const;
 
 private:
-  static Duration spread(double bytes, double bytesPerSecond);
+  static Duration transmissionTime(double bytes, double bytesPerSecond);
   bool isSameCount(const RankStatus &status) const;
   void begin(const RankStatus &status);
   std::vector<std::uint32_t>
-  sinceLast(const std::vector<std::uint64_t> &counts) const;
+  countsSinceLast(const std::vector<std::uint64_t> &counts) const;
 
   SampleLimits Limits;
   /// When counts are needed next.
   TimePoint NextAt;
-  /// Whether LastCounts is the start of a sample. Otherwise LastCounts only
-  /// identifies what is counted.
+  /// Whether a sample has begun at LastCounts. Otherwise LastCounts only serves
+  /// to detect that the number of counts has changed.
   bool IsSampling = false;
   RankIncarnation Incarnation;
   FormationEpoch Formation;
--- a/include/ospreyspur/Experts/ExpertMap.h
+++ b/include/ospreyspur/Experts/ExpertMap.h
@@ -59,8 +59,8 @@
 /// is perfectly balanced.
 double measureSkew(const ExpertMap &map, const ExpertDemand &demand);
 
-/// Number of slots that hold another expert in \p after than in \p before. Each
-/// requires loading one expert's weights.
+/// Number of slots whose expert in \p after occupies no slot of the same rank
+/// and layer in \p before. Each requires loading one expert's weights.
 std::size_t countMoves(const ExpertMap &before, const ExpertMap &after);
 
 /// Encodes \p map as text.
--- a/include/ospreyspur/Experts/GroupCoordinator.h
+++ b/include/ospreyspur/Experts/GroupCoordinator.h
@@ -27,14 +27,15 @@
   /// Interval between two sends of the same order to members that have not
   /// replied.
   Duration Resend = std::chrono::milliseconds(250);
-  /// Time that members have for arming. Afterwards the coordinator sends Ask,
+  /// Time that members have for arming. Afterwards the coordinator sends Query,
   /// which makes every member that is not armed refuse.
   Duration ArmTimeout = std::chrono::seconds(2);
   Duration LoadTimeout = std::chrono::seconds(120);
   /// Interval at which an idle coordinator queries its members.
   Duration SurveyInterval = std::chrono::seconds(15);
-  /// After this time without completion, a phase checks whether the members of
-  /// the group have changed.
+  /// After this time without completion, Surveying and Joining check whether
+  /// the members of the group have changed, and Resolving and Committing return
+  /// to Surveying. The phases that read or write the record continue.
   Duration PhaseTimeout = std::chrono::seconds(10);
   /// Number of steps between the highest reported step and the step of a
   /// switch.
@@ -53,9 +54,10 @@
   Reforming,
   /// Lets the members join the new generation.
   Joining,
-  /// Determines the outcome of an earlier attempt and distributes it.
-  Settling,
-  /// Nothing to do.
+  /// Determines the outcome of an unfinished attempt, of an earlier coordinator
+  /// or of this one, and distributes it.
+  Resolving,
+  /// Waits for the next survey; a new target map is proposed only after it.
   Idle,
   /// Writes a record that proposes a map.
   Proposing,
@@ -78,7 +80,7 @@
   void setMembers(std::vector<EndpointId> members);
   /// Sets the map to bring into force; replaces a map whose change has not
   /// begun.
-  void setTargetMap(std::string map) { Wanted = std::move(map); }
+  void setTargetMap(std::string map) { TargetMap = std::move(map); }
   /// Handles a member's reply.
   GroupActions onReply(const GroupReply &reply, TimePoint now);
   /// Handles the reply of the key-value store.
@@ -105,7 +107,7 @@
   void onRecordWritten(const KvReply &reply, TimePoint now);
   void onPhaseTimeout(TimePoint now);
   void sendToPending(GroupOrderKind kind);
-  void callPlatform(KvCall call);
+  void callKeyValueStore(KvCall call);
   bool haveAllReplied() const;
   GroupActions takeActions();
 
@@ -114,7 +116,7 @@
   CoordinatorLimits Limits;
   LeaseHolder Lease;
   std::vector<EndpointId> Members;
-  std::optional<std::string> Wanted;
+  std::optional<std::string> TargetMap;
 
   CoordinatorPhase Phase = CoordinatorPhase::Following;
   TimePoint PhaseEnd;
--- a/include/ospreyspur/Experts/GroupMember.h
+++ b/include/ospreyspur/Experts/GroupMember.h
@@ -32,8 +32,8 @@
   /// within this time.
   Duration RankTimeout = std::chrono::seconds(2);
   /// Time that an armed member waits for the coordinator's outcome before it
-  /// asks the other members, and the interval between two rounds of asking.
-  Duration AskAfter = std::chrono::milliseconds(300);
+  /// queries the other members, and the interval between two such queries.
+  Duration QueryDelay = std::chrono::milliseconds(300);
   std::size_t MaxWaiting = 64;
 };
 
@@ -77,12 +77,13 @@
   void processWaiting(TimePoint now);
   void load(const GroupOrder &order, TimePoint now);
   void arm(const GroupOrder &order, TimePoint now);
-  void ask(const GroupOrder &order, TimePoint now);
+  void query(const GroupOrder &order, TimePoint now);
   void join(const GroupOrder &order, TimePoint now);
-  void settle(ChangeAttempt attempt, RankOrderKind outcome, TimePoint now);
+  void applyOutcome(ChangeAttempt attempt, RankOrderKind outcome,
+                    TimePoint now);
   void finish(const GroupOrder &cause, bool isDone, TimePoint now);
   std::optional<GroupReplyKind> knownOutcome(ChangeAttempt attempt) const;
-  void askOthers(TimePoint now);
+  void queryOthers(TimePoint now);
   void sendToOthers(GroupOrderKind kind);
   void watchArmed(TimePoint now);
   void orderRank(RankOrderKind kind, const GroupOrder &cause, bool isReplyDue,
@@ -97,11 +98,11 @@
   std::optional<Pending> InFlight;
   std::deque<GroupOrder> Waiting;
   std::uint64_t LastRankOrder = 0;
-  /// For the armed attempt: the members known to have armed, and when to ask
+  /// For the armed attempt: the members known to have armed, and when to query
   /// the others.
   ChangeAttempt VotesFor;
   std::set<EndpointId> ArmedVotes;
-  std::optional<TimePoint> AskAt;
+  std::optional<TimePoint> QueryAt;
   GroupActions Out;
 };
 
--- a/include/ospreyspur/Experts/GroupMessages.h
+++ b/include/ospreyspur/Experts/GroupMessages.h
@@ -20,15 +20,17 @@
 /// The revision of the coordinator's lease record; later holders have higher
 /// ones.
 using Epoch = StrongType<struct EpochTag, std::uint64_t>;
-/// Counts how often the group was re-formed; steps are numbered within a
-/// generation.
+/// Counts how often a GroupCoordinator re-formed the group; steps are numbered
+/// within a generation. Groups that the platform forms have a FormationEpoch
+/// instead.
 using Generation = StrongType<struct GenerationTag, std::uint64_t>;
 /// Numbers the attempts to change the map; set by compare-and-swap, never
 /// reused.
 using ChangeAttempt = StrongType<struct ChangeAttemptTag, std::uint64_t>;
 /// Numbers the group's expert maps.
 using MapVersion = StrongType<struct MapVersionTag, std::uint64_t>;
-/// Numbers the lock-step group's steps within a generation.
+/// Numbers the lock-step group's steps, its engine iterations, within a
+/// generation.
 using StepNumber = StrongType<struct StepNumberTag, std::uint64_t>;
 
 /// What a GroupOrder asks for.
@@ -41,7 +43,7 @@
   Arm,
   /// Report whether the member has armed for the attempt; if not, refuse it
   /// permanently.
-  Ask,
+  Query,
   /// The attempt is committed: every member had armed.
   Commit,
   /// The attempt is aborted: some member had refused.
@@ -93,7 +95,7 @@
   MapVersion Version;
   StepNumber Step;
   GroupReplyKind Kind = GroupReplyKind::State;
-  /// With State: tokens by layer and slot since the last report.
+  /// In a reply to Report: tokens by layer and slot since the last report.
   std::vector<std::uint32_t> SlotTokens;
 };
 
--- a/include/ospreyspur/Experts/LeaseHolder.h
+++ b/include/ospreyspur/Experts/LeaseHolder.h
@@ -2,8 +2,9 @@
 //
 // State machine that acquires and keeps a group's coordinator lease. The holder
 // acts only while its own monotonic clock shows that the lease must still be
-// valid, less a margin. A pause between that check and an action is covered by
-// the epoch, which receivers compare.
+// valid, less a margin, unless LeaseLimits::ActsDuringOutage is set. A pause
+// between that check and an action is covered by the epoch, which receivers
+// compare.
 //
 //===----------------------------------------------------------------------===//
 
@@ -66,7 +67,8 @@
   void onReply(const KvReply &reply, TimePoint now);
   /// Called when the current holder appears to be dead. Takes the lease over
   /// with the next call, if the lease still has the revision that was read.
-  /// Allowed only where all orders of holders are fenced.
+  /// Does nothing while a call is pending. Allowed only where all orders of
+  /// holders are fenced; for an own lease, see TakesOverOwnLease.
   void takeOver(TimePoint now);
   /// Called when this process may no longer hold the lease. It stops acting
   /// until the next call has found that its own write is still in place.
@@ -85,7 +87,7 @@
   }
   /// The revision of the newest known holder, this process included; 0 if none
   /// is known.
-  Revision newestHolder() const { return std::max(Holder, OtherHolder); }
+  Revision newestHolder() const { return std::max(Holder, OtherRevision); }
   /// The epoch; meaningful only while the lease is held.
   Epoch epoch() const { return Epoch(Holder.get()); }
   /// The value that the current holder wrote, as last read; empty if there was
@@ -105,9 +107,9 @@
   Revision Holder;
   std::string HolderName;
   /// The last revision that this process wrote, if suspend() was called for it.
-  Revision Doubted;
+  Revision SuspendedRevision;
   /// The revision of another holder as last read; 0 if there was none.
-  Revision OtherHolder;
+  Revision OtherRevision;
   TimePoint ActUntil;
   TimePoint NextCall;
   TimePoint SentAt;
@@ -115,7 +117,8 @@
   bool IsCalling = false;
   /// Whether the last read found no key.
   bool IsFree = false;
-  /// Whether the next call takes the lease over from OtherHolder.
+  /// Whether the next call takes the lease over from the holder that wrote
+  /// OtherRevision.
   bool IsTakingOver = false;
   /// Whether the pending call tries to acquire the lease.
   bool IsAcquiring = false;
--- a/include/ospreyspur/Experts/MapDelta.h
+++ b/include/ospreyspur/Experts/MapDelta.h
@@ -3,10 +3,12 @@
 // A whole map goes to every rank of a group. In a large group that exceeds what
 // the coordinator's link can carry during one step, and responses of the engine
 // on the coordinator's host queue behind the maps. A link that has carried a
-// map before therefore carries only the sets that differ from that map. Any
-// other link carries only the sets that differ from the map that the group was
-// formed with, which follows from a rule: with one copy per rank in a group of
-// 96 that is less than a third of the whole map.
+// map before therefore carries only the differences from that map: single
+// experts, or whole sets where a rank holds fewer experts. Any other link
+// carries only the differences from the map that the group was formed with,
+// which follows from a rule: with one copy per rank in a group of 96 that is
+// less than a third of the whole map. The whole map is sent where a delta is
+// not shorter, or has repeatedly got no reply.
 //
 //===----------------------------------------------------------------------===//
 
@@ -50,8 +52,8 @@
 class ReceivedMap {
 public:
   /// Restores the whole map of \p order. Returns false if the base map is not
-  /// known here, after which the coordinator's later copies carry the whole
-  /// map, or if the delta does not fit the base map.
+  /// known here or if the delta does not fit it. The coordinator sends the
+  /// whole map from the second repeat of the order on.
   bool complete(MapOrder &order);
 
 private:
--- a/include/ospreyspur/Experts/MapOrderQueue.h
+++ b/include/ospreyspur/Experts/MapOrderQueue.h
@@ -54,7 +54,7 @@
 private:
   double BytesPerSecond;
   std::deque<SendMapOrder> Waiting;
-  /// When the bytes sent so far will have left the link.
+  /// When the bytes sent so far will have left the link at BytesPerSecond.
   TimePoint FreeAt;
 };
 
--- a/include/ospreyspur/Experts/MapSwitch.h
+++ b/include/ospreyspur/Experts/MapSwitch.h
@@ -19,8 +19,9 @@
 // take effect. If the predecessor's host does not respond, the state of the
 // rank on that host is unknown. But that rank is armed last and disarmed first:
 // as long as any other rank is not armed, that rank is not armed either. The
-// map's version identifies the rank. Arming one more rank in a stage of its own
-// before the last makes it rare that all others are armed.
+// version of the map tells which rank that is; see nextVersion(). Arming one
+// more rank in a stage of its own before the last makes it rare that all others
+// are armed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -50,15 +51,16 @@
   /// Number of repeated orders that may be sent within Resend. While more
   /// orders have no reply, each waits longer: the replies of a large group
   /// arrive one after the other, and copies sent meanwhile would queue ahead of
-  /// the next order. In a group of 96 ranks on links of 6 Mbit/s each map was
-  /// sent five times, and no change completed.
+  /// the next order. With a fixed interval, a coordinator of 96 ranks on links
+  /// of 6 Mbit/s sent each map five times, and no change completed.
   std::size_t RepeatsPerResend = 8;
   /// A status older than this is not used.
   Duration StatusAge = std::chrono::milliseconds(1500);
   /// Time that ranks have for copying experts.
-  Duration PrepareTime = std::chrono::seconds(6);
-  /// Time that a phase may take before the change is rolled back or abandoned.
-  Duration PhaseTime = std::chrono::milliseconds(1200);
+  Duration PrepareTimeout = std::chrono::seconds(6);
+  /// Time after which Holding and Arming are rolled back, and Claiming and
+  /// Confirming abandoned. Freezing, Releasing and Disarming have no limit.
+  Duration PhaseTimeout = std::chrono::milliseconds(1200);
   /// Minimum number of steps between the current one and the change: orders
   /// take a few milliseconds, a step of a busy group some tens.
   std::uint64_t StepsAhead = 1;
@@ -87,7 +89,8 @@
   Confirming,
   /// Holds the step of an unfinished change on every rank.
   Freezing,
-  /// Disarms every rank.
+  /// Disarms the ranks that report that they are armed; to roll back a change
+  /// of this coordinator, every rank.
   Disarming,
 };
 
@@ -139,10 +142,13 @@
   SwitchPhase phase() const { return Phase; }
   /// Whether order \p id to \p rank still awaits a reply.
   bool isPending(unsigned rank, MapOrderId id) const;
-  /// Whether a change may begin: all ranks are known, and no earlier change is
-  /// unfinished.
+  /// Whether a change may begin: no earlier change is unfinished, isComplete()
+  /// is true, and all ranks have reported since the last change, run the same
+  /// map, have reported their placement and have executed or refused an order
+  /// under this lease.
   bool canBegin(TimePoint now) const;
-  /// Whether every rank has reported recently, all from the same formation.
+  /// Whether every rank has reported recently, all from the same formation and
+  /// accepting requests.
   bool isComplete(TimePoint now) const;
   /// The experts of every rank, as reported.
   GroupPlacement placement() const;
@@ -242,9 +248,9 @@
   TimePoint LeadingSince;
   /// Ranks that have executed or refused an order under this lease in the
   /// current formation.
-  std::set<unsigned> Claimed;
-  FormationEpoch ClaimedIn;
-  std::shared_ptr<const GroupPlacement> Wanted;
+  std::set<unsigned> RanksWithToken;
+  FormationEpoch TokenFormation;
+  std::shared_ptr<const GroupPlacement> PlannedMap;
   std::map<unsigned, RankStatus> Ranks;
   std::map<unsigned, TimePoint> SeenAt;
   /// Orders of the current phase without a final reply, by rank.
--- a/include/ospreyspur/Experts/MemberConsent.h
+++ b/include/ospreyspur/Experts/MemberConsent.h
@@ -6,8 +6,8 @@
 // coordinator, a candidate that takes the lease stops following at that moment,
 // and an agent refuses the orders of any earlier lease holder once it knows of
 // a later one. While every agent of the group follows a coordinator, there is
-// no other. A successor that has not reached every agent waits until its
-// predecessor must have noticed.
+// no other. A successor that does not yet have every agent's reports waits for
+// SuccessorWait; by then its predecessor has stopped sending orders.
 //
 // After its host was paused, a coordinator may read reports that were sent
 // before the pause. They prove nothing, so from then on only the key-value
--- a/include/ospreyspur/Experts/PlacementPlanner.h
+++ b/include/ospreyspur/Experts/PlacementPlanner.h
@@ -1,10 +1,10 @@
 //===- PlacementPlanner.h - which experts each rank should hold -*- C++ -*-===//
 //
-// Improves a group's placement step by step; each step copies one expert from a
-// heavily loaded rank to a less loaded one. Copies occupy the rank's link, so a
-// plan contains few of them and the next plan continues from there. A slow rank
-// counts as proportionally more loaded, and may drop experts that other ranks
-// also hold.
+// Improves a group's placement change by change; each change copies one expert
+// from a heavily loaded rank to a less loaded one. Copies occupy the rank's
+// link, so a plan contains few of them and the next plan continues from there.
+// A slow rank counts as proportionally more loaded, and may drop experts that
+// other ranks also hold.
 //
 //===----------------------------------------------------------------------===//
 
--- a/include/ospreyspur/Experts/RankState.h
+++ b/include/ospreyspur/Experts/RankState.h
@@ -23,7 +23,8 @@
   StepNumber Step;
 };
 
-/// The state that an engine reports.
+/// The state that an engine reports to GroupMember. Groups that the
+/// platform forms have RankStatus instead.
 struct RankState {
   /// 0 until the engine has joined a generation.
   Generation GroupGeneration;
--- a/include/ospreyspur/Experts/RankStatus.h
+++ b/include/ospreyspur/Experts/RankStatus.h
@@ -17,13 +17,15 @@
 
 namespace ospreyspur {
 
-/// Counts how often the platform has formed the group. Whatever ranks have
+/// Counts how often the platform has formed the group, whose map MapSwitch
+/// changes. Whatever ranks have
 /// prepared, armed or held is lost with each formation.
 using FormationEpoch = StrongType<struct FormationEpochTag, std::uint64_t>;
 
 /// An expert's number within its set of layers.
 using ExpertNumber = std::uint16_t;
-/// The experts of one rank, by set of layers.
+/// The experts of one rank, by set of layers. The layers of a set share one
+/// placement.
 using RankPlacement = std::vector<std::vector<ExpertNumber>>;
 
 /// When a rank's engine started, in ms of wall-clock time; 0 if not reported.
@@ -61,8 +63,8 @@
   /// How often each expert was chosen since the rank started, set by set; empty
   /// if not requested. Stays on the rank's host.
   std::vector<std::uint64_t> Counts;
-  /// How often each expert was chosen since the previous report; empty if the
-  /// report contains no sample.
+  /// How often each expert was chosen in the time that the sample covers, see
+  /// DemandSampler; empty if the report contains no sample.
   std::vector<std::uint32_t> SampledCounts;
   /// Slowdown of the rank; 1 is normal speed.
   double Slowdown = 1;
--- a/include/ospreyspur/Experts/SetPlacement.h
+++ b/include/ospreyspur/Experts/SetPlacement.h
@@ -36,8 +36,9 @@
                std::vector<double> demand, std::vector<double> slowdowns = {});
 
   /// The copy with the highest gain to a rank for which \p mayTake returns
-  /// true; none if no copy has a gain. No rank holds more than \p places
-  /// experts.
+  /// true, or the drop from a slow rank, if that gains more; none if nothing
+  /// has a gain. Considers only experts of the most loaded ranks. No rank holds
+  /// more than \p places experts.
   std::optional<ExpertCopy>
   findCopy(std::size_t places,
            const std::function<bool(unsigned)> &mayTake) const;
--- a/include/ospreyspur/Experts/StallWatch.h
+++ b/include/ospreyspur/Experts/StallWatch.h
@@ -27,7 +27,7 @@
 
   /// Handles the rank's state. Returns true once the group has begun no step
   /// for StallTimeout, or for twice the duration of its last step if that is
-  /// longer.
+  /// longer, but at most for MaxStallTimeout.
   bool isStalled(const RankStatus &status, TimePoint now) {
     bool isSame = IsKnown && status.Formation == Formation;
     bool hasMoved = !isSame || status.Step != Step;
--- a/include/ospreyspur/Experts/StatusFilter.h
+++ b/include/ospreyspur/Experts/StatusFilter.h
@@ -26,7 +26,8 @@
   static constexpr Duration Heartbeat = std::chrono::milliseconds(180);
 
   /// The report to send to the coordinator at \p address for \p status, if any.
-  /// The placement is omitted if the coordinator has received it.
+  /// The placement is omitted if the previous report to that address was of the
+  /// same incarnation, formation and map, unless the report contains a sample.
   std::optional<RankStatus> filter(const RankStatus &status,
                                    const std::string &address, TimePoint now);
 
--- a/lib/Experts/DemandMeter.cpp
+++ b/lib/Experts/DemandMeter.cpp
@@ -32,7 +32,7 @@
     AverageDifference = 0;
     Comparisons = 0;
   }
-  fade(now);
+  decay(now);
   addTo(Demand, picks, 1);
   addTo(RecentSum, picks, 1);
   RecentCounts.push_back(picks);
@@ -53,12 +53,12 @@
 }
 
 /// The longer the demand has been stable, the longer older samples count.
-void DemandMeter::fade(TimePoint now) {
+void DemandMeter::decay(TimePoint now) {
   Duration stableTime = Shifts == 0 ? Limits.HalfLife : now - ShiftedAt;
   Duration halfLife =
       std::clamp(stableTime, Limits.ShortestHalfLife, Limits.HalfLife);
-  double age = double((now - FadedAt).count()) / double(halfLife.count());
-  FadedAt = now;
+  double age = double((now - DecayedAt).count()) / double(halfLife.count());
+  DecayedAt = now;
   double remaining = std::exp2(-age);
   for (double &it : Demand)
     it *= remaining;
--- a/lib/Experts/DemandSampler.cpp
+++ b/lib/Experts/DemandSampler.cpp
@@ -39,7 +39,7 @@
     NextAt = now + window;
     return {};
   }
-  std::vector<std::uint32_t> out = sinceLast(status.Counts);
+  std::vector<std::uint32_t> out = countsSinceLast(status.Counts);
   begin(status);
   IsSampling = every - window < Limits.MinInterval;
   NextAt = now + (IsSampling ? every : every - window);
@@ -47,7 +47,7 @@
 }
 
 std::vector<std::uint32_t>
-DemandSampler::sinceLast(const std::vector<std::uint64_t> &counts) const {
+DemandSampler::countsSinceLast(const std::vector<std::uint64_t> &counts) const {
   std::vector<std::uint32_t> out;
   out.reserve(counts.size());
   for (std::size_t i = 0; i < counts.size(); ++i)
@@ -57,7 +57,7 @@
 }
 
 /// The time that sending \p bytes takes at \p bytesPerSecond.
-Duration DemandSampler::spread(double bytes, double bytesPerSecond) {
+Duration DemandSampler::transmissionTime(double bytes, double bytesPerSecond) {
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(bytes / bytesPerSecond));
 }
@@ -66,10 +66,11 @@
   if (Limits.BytesPerSecond <= 0)
     return Limits.MinInterval;
   double bytes = double(ranks) * double(counts);
-  Duration normalInterval = spread(bytes, Limits.BytesPerSecond);
+  Duration normalInterval = transmissionTime(bytes, Limits.BytesPerSecond);
   if (normalInterval > Limits.MaxDesiredInterval &&
       Limits.MaxBytesPerSecond > 0)
-    normalInterval = std::max(Limits.MaxDesiredInterval,
-                              spread(bytes, Limits.MaxBytesPerSecond));
+    normalInterval =
+        std::max(Limits.MaxDesiredInterval,
+                 transmissionTime(bytes, Limits.MaxBytesPerSecond));
   return std::max(Limits.MinInterval, normalInterval);
 }
--- a/lib/Experts/ExpertMap.cpp
+++ b/lib/Experts/ExpertMap.cpp
@@ -1,7 +1,7 @@
 //===- ExpertMap.cpp - building, checking and encoding maps ---------------===//
 //
-// The text form is "<layers> <experts> <ranks> <slots> " followed by four hex
-// digits per slot.
+// The text form is "<layers> <experts> <ranks> <slots per rank> ", followed by
+// four hex digits for the expert in each slot, layer by layer.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Experts/ExpertPlanner.cpp
+++ b/lib/Experts/ExpertPlanner.cpp
@@ -1,9 +1,9 @@
 //===- ExpertPlanner.cpp - plans maps for a drifting demand ---------------===//
 //
-// Each layer is improved step by step, and each step is recorded with the moves
-// and the imbalance so far. The lower convex hull of these points gives the
-// lowest imbalance that a number of moves can achieve. The layers then compete
-// for the budget by the slopes of their hulls.
+// Each layer is improved change by change, and each change is recorded with the
+// moves and the imbalance so far. The lower convex hull of these points gives
+// the lowest imbalance that a number of moves can achieve. The layers then
+// compete for the budget by the slopes of their hulls.
 //
 //===----------------------------------------------------------------------===//
 
@@ -33,8 +33,8 @@
   std::vector<PathPoint> Hull;
 };
 
-/// A step from one corner of a layer's hull to the next.
-struct HullStep {
+/// An edge of a layer's hull, from one corner to the next.
+struct HullEdge {
   std::size_t Layer = 0;
   std::size_t Corner = 0;
   std::size_t Moves = 0;
@@ -74,22 +74,23 @@
   return path;
 }
 
-/// All layers' steps worth more than \p minWorth, the most worthwhile first.
-static std::vector<HullStep> rankSteps(const std::vector<LayerPath> &paths,
+/// The edges of all layers' hulls that are worth more than \p minWorth, the
+/// most worthwhile first.
+static std::vector<HullEdge> rankEdges(const std::vector<LayerPath> &paths,
                                        double minWorth) {
-  std::vector<HullStep> steps;
+  std::vector<HullEdge> edges;
   for (std::size_t layer = 0; layer < paths.size(); ++layer) {
     const std::vector<PathPoint> &hull = paths[layer].Hull;
     for (std::size_t i = 1; i < hull.size(); ++i) {
       double worth = slope(hull[i - 1], hull[i]);
       if (worth > minWorth)
-        steps.push_back({layer, i, hull[i].Moves - hull[i - 1].Moves, worth});
+        edges.push_back({layer, i, hull[i].Moves - hull[i - 1].Moves, worth});
     }
   }
   std::stable_sort(
-      steps.begin(), steps.end(),
-      [](const HullStep &a, const HullStep &b) { return a.Worth > b.Worth; });
-  return steps;
+      edges.begin(), edges.end(),
+      [](const HullEdge &a, const HullEdge &b) { return a.Worth > b.Worth; });
+  return edges;
 }
 
 MapPlan ExpertPlanner::plan(const ExpertMap &current,
@@ -103,11 +104,11 @@
 
   std::vector<std::size_t> corners(paths.size(), 0);
   std::size_t moves = 0;
-  for (const HullStep &step : rankSteps(paths, minWorth)) {
-    if (moves + step.Moves > Weights.MaxMoves)
+  for (const HullEdge &edge : rankEdges(paths, minWorth)) {
+    if (moves + edge.Moves > Weights.MaxMoves)
       break;
-    moves += step.Moves;
-    corners[step.Layer] = step.Corner;
+    moves += edge.Moves;
+    corners[edge.Layer] = edge.Corner;
   }
 
   MapPlan plan;
--- a/lib/Experts/GroupCoordinator.cpp
+++ b/lib/Experts/GroupCoordinator.cpp
@@ -81,15 +81,15 @@
     return;
   case Phases::Reading:
     ResendAt = now + Limits.Lease.CallTimeout;
-    callPlatform(KvGet{recordKey(Group)});
+    callKeyValueStore(KvGet{recordKey(Group)});
     return;
   case Phases::Reforming:
   case Phases::Proposing:
   case Phases::Recording:
-    // If the reply to a write is lost, reading the record shows whether the
-    // write succeeded.
+    // A write without a reply is repeated with the same expected revision. If
+    // the first one succeeded, the repeat fails, and the record is read again.
     ResendAt = now + Limits.Lease.CallTimeout;
-    callPlatform(KvPut{
+    callKeyValueStore(KvPut{
         recordKey(Group), formatRecord(PendingRecord), RecordRevision, {}});
     return;
   case Phases::Surveying:
@@ -101,8 +101,8 @@
   case Phases::Joining:
     sendToPending(GroupOrderKind::Join);
     return;
-  case Phases::Settling:
-    sendToPending(GroupOrderKind::Ask);
+  case Phases::Resolving:
+    sendToPending(GroupOrderKind::Query);
     sendToPending(GroupOrderKind::Report);
     return;
   case Phases::Loading:
@@ -144,7 +144,7 @@
   HighestStep = std::max(HighestStep, reply.Step);
   bool isCurrent = reply.GroupGeneration == Record.GroupGeneration;
   bool needsAll = Phase == Phases::Loading || Phase == Phases::Arming ||
-                  Phase == Phases::Settling || Phase == Phases::Committing;
+                  Phase == Phases::Resolving || Phase == Phases::Committing;
   if (!isCurrent && needsAll) {
     // An engine restarted and lost its promises of this generation.
     enter(Phases::Surveying, now);
@@ -169,8 +169,8 @@
       break;
     if (reply.Kind == GroupReplyKind::LoadFailed) {
       // Do not retry the same map repeatedly; the planner may propose it again.
-      if (Wanted == Record.Proposed->Map)
-        Wanted.reset();
+      if (TargetMap == Record.Proposed->Map)
+        TargetMap.reset();
       enter(Phases::Idle, now);
     } else if (reply.Kind == GroupReplyKind::Loaded)
       Replies[reply.Member] = reply;
@@ -180,7 +180,7 @@
     }
     break;
   case Phases::Arming:
-  case Phases::Settling:
+  case Phases::Resolving:
     if (isCurrent && reply.Attempt == Attempt)
       onVote(reply, now);
     break;
@@ -227,15 +227,17 @@
     enter(Phases::Committing, now);
     return;
   }
-  // The attempt precedes the current record: its members finish it, and the
-  // next survey shows which map they run.
+  // The attempt precedes the current record, which does not propose its map.
+  // The members carry out the commit, and the next survey shows which map they
+  // run.
   Replies.clear();
   sendToPending(GroupOrderKind::Commit);
   enter(Phases::Idle, now);
 }
 
-/// Called when all members' states are known: settles what an earlier
-/// coordinator began.
+/// Called when all members' states are known: finishes an unfinished attempt,
+/// begins a new generation if the members have changed, or proposes the target
+/// map.
 void GroupCoordinator::onSurveyed(TimePoint now) {
   std::optional<ChangeAttempt> armed;
   bool isProposedRunning = false;
@@ -254,7 +256,7 @@
   }
   if (armed) {
     Attempt = *armed;
-    enter(Phases::Settling, now);
+    enter(Phases::Resolving, now);
     return;
   }
   if (isProposedRunning) {
@@ -263,9 +265,9 @@
     return;
   }
   enter(Phases::Idle, now);
-  if (isOtherRunning && !Wanted)
-    Wanted = Record.Committed.Map;
-  bool isNew = Wanted && *Wanted != Record.Committed.Map;
+  if (isOtherRunning && !TargetMap)
+    TargetMap = Record.Committed.Map;
+  bool isNew = TargetMap && *TargetMap != Record.Committed.Map;
   if (Record.Members != Members)
     beginGeneration(now);
   else if (isNew || isOtherRunning)
@@ -284,7 +286,7 @@
   GroupRecord next = Record;
   next.Attempt = ChangeAttempt(Record.Attempt.get() + 1);
   // Versions are numbered by attempts; neither number is ever reused.
-  next.Proposed = NumberedMap{MapVersion(next.Attempt.get()), *Wanted};
+  next.Proposed = NumberedMap{MapVersion(next.Attempt.get()), *TargetMap};
   writeRecord(std::move(next), Phases::Proposing, now);
 }
 
@@ -303,15 +305,15 @@
     if (Record.Members != Members)
       beginGeneration(now);
     return;
-  case Phases::Settling:
+  case Phases::Resolving:
   case Phases::Committing:
     // An engine may have restarted after its reply: query all members again.
     enter(Phases::Surveying, now);
     return;
   case Phases::Arming:
-    // Members that have not armed refuse when asked; members that have armed
+    // Members that have not armed refuse when queried; members that have armed
     // stay armed.
-    enter(Phases::Settling, now);
+    enter(Phases::Resolving, now);
     return;
   default:
     PhaseEnd = now + Limits.PhaseTimeout;
@@ -345,8 +347,8 @@
 void GroupCoordinator::onRecordRead(const KvReply &reply, TimePoint now) {
   if (reply.Code == ResultCode::NotFound) {
     Record = GroupRecord();
-    if (Wanted)
-      Record.Committed.Map = *Wanted;
+    if (TargetMap)
+      Record.Committed.Map = *TargetMap;
     RecordRevision = Revision(0);
     beginGeneration(now);
     return;
@@ -391,7 +393,7 @@
   return std::all_of(Record.Members.begin(), Record.Members.end(), hasReplied);
 }
 
-void GroupCoordinator::callPlatform(KvCall call) {
+void GroupCoordinator::callKeyValueStore(KvCall call) {
   RecordCall = KvCallId(++LastCall);
   Out.push_back(CallPlatformForGroup{{RecordCall, std::move(call)}});
 }
--- a/lib/Experts/GroupMember.cpp
+++ b/lib/Experts/GroupMember.cpp
@@ -49,15 +49,16 @@
   case GroupOrderKind::Arm:
     isFenced ? reply(order, GroupReplyKind::Fenced) : arm(order, now);
     return;
-  case GroupOrderKind::Ask:
-    ask(order, now);
+  case GroupOrderKind::Query:
+    query(order, now);
     return;
-  // The outcome of an attempt is a fact, whoever reports it.
+  // Commit and Abort report a decided outcome, so they are accepted from any
+  // sender and with any epoch.
   case GroupOrderKind::Commit:
-    settle(order.Attempt, RankOrderKind::Commit, now);
+    applyOutcome(order.Attempt, RankOrderKind::Commit, now);
     return;
   case GroupOrderKind::Abort:
-    settle(order.Attempt, RankOrderKind::Abort, now);
+    applyOutcome(order.Attempt, RankOrderKind::Abort, now);
     return;
   case GroupOrderKind::Report:
     orderRank(RankOrderKind::Report, order, true, now);
@@ -118,7 +119,7 @@
             now);
 }
 
-void GroupMember::ask(const GroupOrder &order, TimePoint now) {
+void GroupMember::query(const GroupOrder &order, TimePoint now) {
   if (order.GroupGeneration != State->GroupGeneration)
     return;
   if (auto known = knownOutcome(order.Attempt))
@@ -127,8 +128,8 @@
     orderRank(RankOrderKind::Refuse, order, true, now);
 }
 
-void GroupMember::settle(ChangeAttempt attempt, RankOrderKind outcome,
-                         TimePoint now) {
+void GroupMember::applyOutcome(ChangeAttempt attempt, RankOrderKind outcome,
+                               TimePoint now) {
   if (!State->Armed || State->Armed->Attempt != attempt)
     return;
   GroupOrder own;
@@ -166,7 +167,7 @@
       reply(cause, GroupReplyKind::LoadFailed);
     return;
   case GroupOrderKind::Arm:
-  case GroupOrderKind::Ask:
+  case GroupOrderKind::Query:
     if (cause.GroupGeneration != State->GroupGeneration)
       return;
     if (auto known = knownOutcome(cause.Attempt))
@@ -186,19 +187,19 @@
 /// Starts or ends the wait for the outcome of the armed attempt.
 void GroupMember::watchArmed(TimePoint now) {
   if (!State->Armed) {
-    AskAt.reset();
+    QueryAt.reset();
     return;
   }
-  if (AskAt && VotesFor == State->Armed->Attempt)
+  if (QueryAt && VotesFor == State->Armed->Attempt)
     return;
   VotesFor = State->Armed->Attempt;
   ArmedVotes = {Self};
-  AskAt = now + Limits.AskAfter;
+  QueryAt = now + Limits.QueryDelay;
 }
 
-void GroupMember::askOthers(TimePoint now) {
-  AskAt = now + Limits.AskAfter;
-  sendToOthers(GroupOrderKind::Ask);
+void GroupMember::queryOthers(TimePoint now) {
+  QueryAt = now + Limits.QueryDelay;
+  sendToOthers(GroupOrderKind::Query);
 }
 
 /// Sends a query about the armed attempt, or the attempt's outcome, to all
@@ -248,13 +249,13 @@
     InFlight.reset();
     orderRank(RankOrderKind::Report, {}, false, now);
   }
-  if (AskAt && *AskAt <= now && State && State->Armed)
-    askOthers(now);
+  if (QueryAt && *QueryAt <= now && State && State->Armed)
+    queryOthers(now);
   return takeActions();
 }
 
 std::optional<TimePoint> GroupMember::nextTimer() const {
-  std::optional<TimePoint> next = AskAt;
+  std::optional<TimePoint> next = QueryAt;
   if (InFlight && (!next || InFlight->GiveUpAt < *next))
     next = InFlight->GiveUpAt;
   return next;
--- a/lib/Experts/LeaseHolder.cpp
+++ b/lib/Experts/LeaseHolder.cpp
@@ -31,7 +31,7 @@
   NextCall = now + Limits.RetryEvery;
   if (std::exchange(IsTakingOver, false)) {
     IsAcquiring = true;
-    return KvPut{Key, Self, OtherHolder, Limits.Span};
+    return KvPut{Key, Self, OtherRevision, Limits.Span};
   }
   if (!std::exchange(IsFree, false))
     return KvGet{Key, true};
@@ -40,7 +40,7 @@
 }
 
 void LeaseHolder::takeOver(TimePoint now) {
-  if (Holder.get() > 0 || OtherHolder.get() == 0 || IsCalling)
+  if (Holder.get() > 0 || OtherRevision.get() == 0 || IsCalling)
     return;
   IsTakingOver = true;
   NextCall = now;
@@ -51,9 +51,9 @@
     return;
   IsCalling = false;
   bool wasAcquiring = std::exchange(IsAcquiring, false);
-  bool isOwn = Doubted.get() > 0 && reply.At == Doubted;
+  bool isOwn = SuspendedRevision.get() > 0 && reply.At == SuspendedRevision;
   if (Holder.get() == 0 && reply.Code == ResultCode::Ok && isOwn) {
-    hold(Doubted);
+    hold(SuspendedRevision);
     return;
   }
   if (Holder.get() == 0 && !wasAcquiring) {
@@ -91,7 +91,7 @@
 
 void LeaseHolder::hold(Revision at) {
   Holder = at;
-  Doubted = Revision(0);
+  SuspendedRevision = Revision(0);
   ActUntil = SentAt + Limits.Span - Limits.Margin;
   NextCall = SentAt + Limits.RenewEvery;
 }
@@ -101,13 +101,13 @@
     return;
   Revision own = Holder;
   lose(now);
-  Doubted = own;
+  SuspendedRevision = own;
   NextCall = now;
 }
 
 void LeaseHolder::recordHolder(const KvReply &reply) {
   HolderName = reply.Value;
-  OtherHolder = reply.At;
+  OtherRevision = reply.At;
 }
 
 TimePoint LeaseHolder::nextTimer() const {
--- a/lib/Experts/MapArming.cpp
+++ b/lib/Experts/MapArming.cpp
@@ -28,15 +28,16 @@
   Step = StepNumber(last.get() + stepsAhead() * HoldTries);
   enter(SwitchPhase::Holding, now);
   // If this host freezes, others must still be able to release the step.
-  unsigned holder = OwnRank == 0 && Ranks.size() > 1 ? 1 : 0;
-  order(holder, MapOrderKind::Hold, Version, Step, now);
+  unsigned holdRank = OwnRank == 0 && Ranks.size() > 1 ? 1 : 0;
+  order(holdRank, MapOrderKind::Hold, Version, Step, now);
 }
 
-/// A step that the group will probably not reach before every rank is armed, so
-/// that the hold normally does not delay the group. Where links lose packets, a
-/// reply may need a retransmission of 0.2 s or more, during which the group
-/// would be stalled. A fixed number of steps that covers such retransmissions
-/// would delay all other changes.
+/// Number of steps ahead at which the group is held. The group will probably
+/// not reach that step before every rank is armed, so that the hold normally
+/// does not delay it. Where links lose packets, a reply may need a
+/// retransmission of 0.2 s or more, during which the group would be stalled. A
+/// fixed number of steps that covers such retransmissions would delay all other
+/// changes.
 std::uint64_t MapSwitch::stepsAhead() const {
   Duration ahead = std::min(SlowestReply, Limits.MaxStepDelay);
   double seconds = std::chrono::duration<double>(ahead).count();
@@ -97,8 +98,8 @@
   return false;
 }
 
-/// All ranks have prepared this coordinator's map, so none can be armed for
-/// another map.
+/// Disarms every rank for Version. All ranks have prepared that map, so none
+/// can be armed for another one.
 void MapSwitch::rollBack(TimePoint now) { beginDisarming(Version, true, now); }
 
 /// A rank that holds nothing refuses the order, which is harmless.
--- a/lib/Experts/MapDelta.cpp
+++ b/lib/Experts/MapDelta.cpp
@@ -12,8 +12,8 @@
 
 using namespace ospreyspur;
 
-/// Copies without an answer before the whole map goes again: links keep their
-/// order, so the map before has come unless it was dropped.
+/// Number of copies without a reply up to which an order still carries a delta.
+/// A link delivers in order, so the base map has arrived unless it was dropped.
 static constexpr unsigned MaxShortTries = 1;
 
 /// Adds the differences between \p base and \p set to \p out.
@@ -67,7 +67,7 @@
   return out;
 }
 
-/// Count of numbers on the wire.
+/// Count of the numbers that encode the argument on the wire.
 static std::size_t lengthOf(const MapDelta &delta) {
   constexpr std::size_t Head = 3;
   constexpr std::size_t OfReplaced = 2;
--- a/lib/Experts/MapSwitch.cpp
+++ b/lib/Experts/MapSwitch.cpp
@@ -32,7 +32,7 @@
   // reachable now.
   Ranks.clear();
   SeenAt.clear();
-  Claimed.clear();
+  RanksWithToken.clear();
 }
 
 void MapSwitch::resign() {
@@ -63,7 +63,7 @@
 /// valid. A change that counted on the rank is evaluated anew.
 void MapSwitch::forgetRank(unsigned rank, TimePoint now) {
   Ranks.erase(rank);
-  Claimed.erase(rank);
+  RanksWithToken.erase(rank);
   if (Phase != SwitchPhase::Idle)
     enterIdle(now);
 }
@@ -99,13 +99,13 @@
     resign();
     return takeActions();
   case MapOrderResult::Done:
-    Claimed.insert(rank);
+    RanksWithToken.insert(rank);
     recordReply(it->second, now);
     Orders.erase(it);
     break;
   case MapOrderResult::Refused: {
     // Ranks also raise their token for orders that they refuse.
-    Claimed.insert(rank);
+    RanksWithToken.insert(rank);
     unsigned tries = it->second.Tries;
     SwitchPhase before = Phase;
     Orders.erase(it);
@@ -120,8 +120,9 @@
   return takeActions();
 }
 
-/// After an earlier copy of the order got no reply, a refusal may only mean
-/// that the earlier copy was executed.
+/// In Preparing, the refusal of a repeated order is ignored: it may only mean
+/// that an earlier copy was executed. In Holding and Arming every refusal
+/// counts.
 void MapSwitch::onRefused(unsigned tries, TimePoint now) {
   switch (Phase) {
   case SwitchPhase::Preparing:
@@ -207,7 +208,7 @@
   if (!canBegin(now))
     return takeActions();
   Version = nextVersion();
-  Wanted = std::make_shared<const GroupPlacement>(placement);
+  PlannedMap = std::make_shared<const GroupPlacement>(placement);
   Formation = Ranks.begin()->second.Formation;
   BeganAt = now;
   SlowestReply /= 2;
@@ -235,7 +236,7 @@
 
 bool MapSwitch::canBegin(TimePoint now) const {
   if (!IsLeading || Phase != SwitchPhase::Idle || !isComplete(now) ||
-      !isSurveyed() || Claimed.size() < Ranks.size())
+      !isSurveyed() || RanksWithToken.size() < Ranks.size())
     return false;
   MapVersion map = Ranks.begin()->second.Map;
   return allRanks([map](const RankStatus &it) {
@@ -315,17 +316,17 @@
       Orders.clear();
       HoldTries = 0;
       holdNext(now);
-    } else if (age > Limits.PrepareTime) {
+    } else if (age > Limits.PrepareTimeout) {
       enterIdle(now);
     }
     break;
   case SwitchPhase::Claiming:
-    if (age > Limits.PhaseTime)
+    if (age > Limits.PhaseTimeout)
       enterIdle(now);
     break;
   case SwitchPhase::Holding:
   case SwitchPhase::Arming:
-    if (age > Limits.PhaseTime)
+    if (age > Limits.PhaseTimeout)
       rollBack(now);
     break;
   case SwitchPhase::Freezing:
@@ -353,7 +354,7 @@
   // the next change need not wait for another round of them, about 0.1 s.
   if (isInForce)
     enter(SwitchPhase::Idle, now);
-  else if (now - PhaseAt > Limits.PhaseTime && !isWaiting)
+  else if (now - PhaseAt > Limits.PhaseTimeout && !isWaiting)
     enterIdle(now);
 }
 
@@ -370,7 +371,7 @@
   out.Version = version;
   out.Step = step;
   if (kind == MapOrderKind::Prepare)
-    out.Map = Wanted;
+    out.Map = PlannedMap;
   send(rank, std::move(out), 0, now);
 }
 
--- a/lib/Experts/MapTakeover.cpp
+++ b/lib/Experts/MapTakeover.cpp
@@ -12,18 +12,18 @@
 
 using namespace ospreyspur;
 
-/// Claims the ranks that have not yet received an order of this coordinator.
-/// Returns false if there are none.
+/// Raises the fencing token of the ranks that have not yet executed or refused
+/// an order of this coordinator. Returns false if there are none.
 bool MapSwitch::beginClaiming(TimePoint now) {
   if (Ranks.empty())
     return false;
   FormationEpoch formation = Ranks.begin()->second.Formation;
-  if (formation != ClaimedIn)
-    Claimed.clear();
-  ClaimedIn = formation;
+  if (formation != TokenFormation)
+    RanksWithToken.clear();
+  TokenFormation = formation;
   std::vector<unsigned> open;
   for (const auto &[rank, status] : Ranks)
-    if (!Claimed.contains(rank) && status.Formation == formation)
+    if (!RanksWithToken.contains(rank) && status.Formation == formation)
       open.push_back(rank);
   if (open.empty())
     return false;
@@ -38,7 +38,8 @@
 }
 
 /// Whether a change that an earlier coordinator left unfinished can be
-/// resolved: all ranks are reachable, or all but the rank that is armed last.
+/// resolved: all ranks are reachable, or all but the rank that is armed last
+/// while another rank is not armed for the newest version.
 bool MapSwitch::canDecide(TimePoint now) const {
   if (!isSurveyed())
     return false;
@@ -127,7 +128,9 @@
       order(rank, MapOrderKind::Release, Version, *status.Held, now);
 }
 
-/// Every rank holds the step: only this coordinator can change their state.
+/// Called in Freezing once every Hold order has its reply. Releases the step if
+/// all ranks have the same armed state; otherwise disarms those that are armed.
+/// Only this coordinator's orders can change the ranks' states now.
 void MapSwitch::advanceFrozen(TimePoint now) {
   if (!canDecide(now))
     return;
--- a/lib/Experts/SetPlacement.cpp
+++ b/lib/Experts/SetPlacement.cpp
@@ -1,8 +1,9 @@
 //===- SetPlacement.cpp - one set of layers on a group's ranks ------------===//
 //
-// The load measure is a power mean of the ranks' loads. The mean is close to
-// the highest load, which determines the step time, but also falls when one of
-// several equally loaded ranks is relieved.
+// The load measure is the 8-norm of the ranks' loads: the eighth root of the
+// sum of their eighth powers. It is close to the highest load, which determines
+// the step time, but also falls when one of several equally loaded ranks is
+// relieved.
 //
 //===----------------------------------------------------------------------===//
 
--- a/unittests/Experts/ChangeBudgetTest.cpp
+++ b/unittests/Experts/ChangeBudgetTest.cpp
@@ -74,13 +74,14 @@
   // 63 ranks with five places for 252 experts of 14 ms. The popularity of such
   // a group's experts follows n^-0.67, and a shift swaps the ranking of half of
   // the experts.
-  constexpr std::size_t Shifted = 63;
+  constexpr std::size_t ShiftedRanks = 63;
   constexpr std::size_t ShiftedSets = 8;
   constexpr std::size_t ShiftedExperts = 252;
   ChangeBudget budget(milliseconds(14));
   PlacementLimits limits{5, 2, budget.newPerRank(true), budget.minGain()};
   PlacementPlanner planner(limits);
-  GroupPlacement map = makeInitialMap(Shifted, ShiftedSets, ShiftedExperts);
+  GroupPlacement map =
+      makeInitialMap(ShiftedRanks, ShiftedSets, ShiftedExperts);
   std::vector<double> demand =
       makeZipfDemand(ShiftedSets, ShiftedExperts, 0.67);
   std::mt19937_64 random(2);
@@ -89,7 +90,7 @@
     map = plan.Placement;
     // The limits that suit large experts end at 1.5.
     CHECK(plan.SkewAfter < 1.2);
-    CHECK(plan.Copies < 5 * Shifted);
+    CHECK(plan.Copies < 5 * ShiftedRanks);
     for (std::size_t n = 0; n < demand.size() / 2; ++n) {
       std::size_t set = random() % ShiftedSets * ShiftedExperts;
       std::swap(demand[set + random() % ShiftedExperts],
--- a/unittests/Experts/DemandMeterTest.cpp
+++ b/unittests/Experts/DemandMeterTest.cpp
@@ -164,7 +164,7 @@
   CHECK(group.Meter.isSettled(group.Now + DemandLimits().MaxSettlingTime));
 }
 
-TEST_CASE("old demand fades") {
+TEST_CASE("old demand decays") {
   DemandLimits limits;
   limits.HalfLife = milliseconds(500);
   DemandMeter meter{limits};
--- a/unittests/Experts/LargeGroupTest.cpp
+++ b/unittests/Experts/LargeGroupTest.cpp
@@ -30,17 +30,17 @@
 constexpr double LinkBytesPerSecond = 6e6 / 8;
 constexpr double MapShare = 0.4;
 
-/// Each rank and set holds two experts, assigned in turn. Each rank holds one
-/// copy, which moves with each turn.
-GroupPlacement makeMap(unsigned size, unsigned turn) {
+/// Every set of a rank holds two experts, assigned round-robin. One set of each
+/// rank holds a third one, a copy; \p round determines the set and the expert.
+GroupPlacement makeMap(unsigned size, unsigned round) {
   GroupPlacement out(size, RankPlacement(Sets));
   for (unsigned rank = 0; rank < size; ++rank)
     for (unsigned set = 0; set < Sets; ++set) {
       for (unsigned i = 0; i + 1 < Places; ++i)
         out[rank][set].push_back(static_cast<ExpertNumber>(i * size + rank));
-      if (set == (turn + rank) % Sets)
+      if (set == (round + rank) % Sets)
         out[rank][set].push_back(
-            static_cast<ExpertNumber>((rank + turn) % size));
+            static_cast<ExpertNumber>((rank + round) % size));
     }
   return out;
 }
@@ -88,7 +88,7 @@
     TimePoint LinkFreeAt;
     std::optional<TimePoint> WakeAt;
   };
-  using Owner = std::shared_ptr<Coordinator>;
+  using CoordinatorPtr = std::shared_ptr<Coordinator>;
 
   void at(Duration after, std::function<void()> what) {
     Time.at(Time.now() + after, std::move(what));
@@ -127,7 +127,7 @@
   void report(unsigned rank) {
     if (!isFrozen(rank)) {
       RankStatus status = Group.status(rank, Time.now());
-      Owner to = Current;
+      CoordinatorPtr to = Current;
       at(draw(milliseconds(1), milliseconds(8)), [this, rank, status, to] {
         onHost(to->Own, [this, rank, status, to] {
           act(to, to->Switch.onStatus(rank, status, Time.now(), Time.now()));
@@ -138,7 +138,7 @@
   }
 
   void tick() {
-    for (const Owner &it : All)
+    for (const CoordinatorPtr &it : All)
       onHost(it->Own, [this, it] {
         act(it, it->Switch.onTimer(Time.now()));
         if (it->Switch.canBegin(Time.now()))
@@ -161,7 +161,7 @@
     FrozenUntil[rank] = Time.now() + draw(milliseconds(50), seconds(2));
   }
 
-  void act(const Owner &from, const SwitchActions &actions) {
+  void act(const CoordinatorPtr &from, const SwitchActions &actions) {
     for (const SendMapOrder &it : actions) {
       if (it.Rank != from->Own && MapOrderQueue::mustWait(it.Order)) {
         from->Queue.push(it);
@@ -174,7 +174,7 @@
     sendMaps(from);
   }
 
-  void sendMaps(const Owner &from) {
+  void sendMaps(const CoordinatorPtr &from) {
     TimePoint now = Time.now();
     while (std::optional<SendMapOrder> next = from->Queue.pop(now)) {
       if (!from->Switch.isPending(next->Rank, next->Order.Id))
@@ -195,8 +195,8 @@
     });
   }
 
-  void transmit(const Owner &from, unsigned rank, const MapOrder &order,
-                std::size_t bytes = 0) {
+  void transmit(const CoordinatorPtr &from, unsigned rank,
+                const MapOrder &order, std::size_t bytes = 0) {
     constexpr std::size_t SmallOrder = 120;
     bytes = std::max(bytes, SmallOrder);
     ++Orders;
@@ -216,7 +216,7 @@
             });
   }
 
-  void take(const Owner &from, unsigned rank, const MapOrder &order) {
+  void take(const CoordinatorPtr &from, unsigned rank, const MapOrder &order) {
     MapOrderReply reply{order.Id, Group.take(rank, order, Time.now())};
     at(draw(milliseconds(2), milliseconds(12)), [this, from, rank, reply] {
       onHost(from->Own, [this, from, rank, reply] {
@@ -231,8 +231,8 @@
   FakeRankGroup Group;
   std::vector<TimePoint> FrozenUntil;
   std::uint64_t Lease = 0;
-  std::vector<Owner> All;
-  Owner Current;
+  std::vector<CoordinatorPtr> All;
+  CoordinatorPtr Current;
   unsigned Turn = 0;
   unsigned Changes = 0;
   TimePoint Began = Time.now();
--- a/unittests/Experts/MapDeltaTest.cpp
+++ b/unittests/Experts/MapDeltaTest.cpp
@@ -127,7 +127,8 @@
     CHECK(replaced[i].Place == it.Place);
     CHECK(replaced[i].Expert == it.Expert);
   }
-  // Sets, places, then the gap and the expert of each place.
+  // The encoded field: number of sets, number of places, then for each replaced
+  // expert the distance from the previous place and the expert.
   using Numbers = std::vector<std::uint32_t>;
   for (const Numbers &it :
        {Numbers{1}, Numbers{0, 5, 1, 1}, Numbers{12, 0, 1, 1},
--- a/unittests/Experts/MapSwitchTest.cpp
+++ b/unittests/Experts/MapSwitchTest.cpp
@@ -265,8 +265,8 @@
     held += simulation.group().heldSteps();
   }
   CHECK(changes > 20 * 30);
-  // 0.75 held steps per change. With every copy sent through the agent there
-  // are 3.0, and 4.0 if also every change is armed for the next step.
+  // 0.75 held steps per change. If repeats are not sent past the agent, there
+  // are 3.0; if also every change is armed for the next step, 4.0.
   CHECK(double(held) / double(changes) < 0.78);
 }
 
--- a/unittests/Experts/OneMapTest.cpp
+++ b/unittests/Experts/OneMapTest.cpp
@@ -32,16 +32,17 @@
 
 namespace {
 struct FaultRates {
-  unsigned Message = 4;
-  unsigned Platform = 10;
-  unsigned Late = 3;
+  unsigned MessagePercent = 4;
+  unsigned PlatformPercent = 10;
+  unsigned LatePercent = 3;
 };
 
 /// A group of ranks with their agents on virtual time.
 class GroupSimulation {
 public:
   GroupSimulation(std::uint64_t seed, FaultRates rates, bool checksFences)
-      : Scheduler(seed, rates.Late), Rates(rates), ChecksFences(checksFences) {
+      : Scheduler(seed, rates.LatePercent), Rates(rates),
+        ChecksFences(checksFences) {
     for (std::size_t i = 0; i < RankCount; ++i)
       Ids.push_back(EndpointId("r" + std::to_string(i)));
     for (std::size_t i = 0; i < RankCount; ++i) {
@@ -196,7 +197,7 @@
 
   void perform(std::size_t /*i*/, const SendGroupOrder &action) {
     std::size_t k = indexOf(action.To);
-    Scheduler.runUnreliably(Rates.Message, [=, this] {
+    Scheduler.runUnreliably(Rates.MessagePercent, [=, this] {
       input(k, Agents[k].Incarnation, [=, this](Agent &agent) {
         return agent.Member->onOrder(action.Order, Scheduler.now());
       });
@@ -205,7 +206,7 @@
 
   void perform(std::size_t /*i*/, const SendGroupReply &action) {
     std::size_t k = indexOf(action.To);
-    Scheduler.runUnreliably(Rates.Message, [=, this] {
+    Scheduler.runUnreliably(Rates.MessagePercent, [=, this] {
       input(k, Agents[k].Incarnation, [=, this](Agent &agent) {
         GroupActions out = agent.Member->onReply(action.Reply, Scheduler.now());
         for (GroupAction &it :
@@ -219,11 +220,11 @@
   /// The order and its reply may each be lost.
   void perform(std::size_t i, const OrderRank &action) {
     std::uint64_t incarnation = Agents[i].Incarnation;
-    if (Scheduler.chance(Rates.Message))
+    if (Scheduler.chance(Rates.MessagePercent))
       return;
     Scheduler.runSoon([=, this] {
       RankReply rankReply = Agents[i].Rank->handle(action.Order);
-      if (!Scheduler.chance(Rates.Message))
+      if (!Scheduler.chance(Rates.MessagePercent))
         Scheduler.runSoon([=, this] {
           input(i, incarnation, [=, this](Agent &agent) {
             return agent.Member->onRankReply(action.Id, rankReply,
@@ -242,7 +243,7 @@
       });
     };
     bool isOutage = Scheduler.now() < OutageUntil;
-    if (isOutage || Scheduler.chance(Rates.Platform)) {
+    if (isOutage || Scheduler.chance(Rates.PlatformPercent)) {
       if (Scheduler.chance(50))
         Scheduler.at(Scheduler.now() + Duration(Scheduler.below(3000000)),
                      [=, this] { callKv(action.Request.Call); });
@@ -258,7 +259,7 @@
     return Kv.perform(call, Scheduler.now());
   }
 
-  /// One tick of the fabric: each rank begins its next step once all ranks of
+  /// Simulates lock-step: each rank may begin its next step once all ranks of
   /// its generation have begun the previous one.
   void step() {
     for (std::size_t i = 0; i < RankCount; ++i) {
@@ -270,9 +271,11 @@
         return it.StartedStep.first == before.first &&
                it.StartedStep.second >= before.second;
       };
-      bool isPast = isFirst ||
-                    std::all_of(std::begin(Agents), std::end(Agents), hasBegun);
-      if (!isPast || !agent.Rank->mayStart() || Scheduler.chance(10))
+      bool hasGroupBegunPrevious =
+          isFirst ||
+          std::all_of(std::begin(Agents), std::end(Agents), hasBegun);
+      if (!hasGroupBegunPrevious || !agent.Rank->mayStart() ||
+          Scheduler.chance(10))
         continue;
       StepNumber number = state.Step;
       MapVersion old = state.Running;
