--- a/include/ospreyspur/Direct/CallState.h
+++ b/include/ospreyspur/Direct/CallState.h
@@ -26,11 +26,14 @@
   /// target.
   TimePoint OnTimeUntil;
   TimePoint WaitUntil;
-  /// Endpoints that may have run it or said that they were full.
+  /// Number of attempts that count toward the limit of the route, the current
+  /// one included. An attempt does not count if nothing was sent, if another
+  /// incarnation had the address, or if an endpoint rejected a stream that had
+  /// begun as full.
   unsigned Attempts = 0;
   /// Number of times the request was sent, including to addresses that another
   /// incarnation had taken over.
-  unsigned Arrivals = 0;
+  unsigned Sends = 0;
   /// When the current attempt started, and when it last received data.
   TimePoint SentAt;
   TimePoint ReceivedAt;
@@ -38,8 +41,9 @@
   unsigned ReceivedParts = 0;
   /// Whether the current attempt is being stopped.
   bool IsStopping = false;
-  /// Whether the current attempt has been silent for longer than \c
-  /// MaxIdleTime.
+  /// Whether the current attempt is to be migrated if possible: it has been
+  /// silent for longer than \c MaxIdleTime, or another rank of its group has
+  /// crashed.
   bool IsSilent = false;
   /// Silent period after which the attempt is migrated if possible.
   Duration MaxIdleTime{};
@@ -51,8 +55,9 @@
   bool WasRejected = false;
   /// Whether the outcome of an attempt that was sent is unknown.
   bool MayHaveRun = false;
-  /// Earliest start time of a suspect request, drawn at random once an endpoint
-  /// is available to it.
+  /// Earliest start time of a suspect request with more than one crash, drawn
+  /// at random once an endpoint is available to it. It is reset when no
+  /// endpoint is available or the call must be deferred.
   std::optional<TimePoint> CopyStartAt;
   std::set<EndpointId> Tried;
   std::optional<EndpointId> Current;
--- a/include/ospreyspur/Direct/DirectActions.h
+++ b/include/ospreyspur/Direct/DirectActions.h
@@ -103,7 +103,7 @@
 };
 
 /// Why an attempt is stopped.
-enum class MigrationReason : std::uint8_t {
+enum class StopReason : std::uint8_t {
   /// The response cannot complete before the deadline at its endpoint.
   TooSlow,
   /// The endpoint has sent nothing for longer than the allowed silent period.
@@ -113,12 +113,13 @@
   Quarantined,
 };
 
-/// Break the attempt under way off; the call goes on elsewhere.
+/// Stops the current attempt. The call continues at another endpoint, or ends
+/// if its request is quarantined.
 struct StopAttempt {
   CallId Call;
-  MigrationReason Reason = MigrationReason::TooSlow;
-  /// The figures behind the decision: the expected inter-event gap at the
-  /// endpoint and the time left until the deadline.
+  StopReason Reason = StopReason::TooSlow;
+  /// For the log: the expected inter-event gap at the endpoint, which is zero
+  /// if the request is quarantined, and the time left until the deadline.
   Duration Gap{};
   Duration TimeLeft{};
 };
--- a/include/ospreyspur/Direct/DirectLimits.h
+++ b/include/ospreyspur/Direct/DirectLimits.h
@@ -27,7 +27,7 @@
   RetryLimits Retries;
   /// Maximum number of times one call is sent, including to addresses that
   /// another incarnation had taken over.
-  unsigned MaxArrivals = 4;
+  unsigned MaxSends = 4;
   /// The silent period after which a stream is migrated is a multiple of the
   /// time to first byte that endpoints of its service currently have, within
   /// these bounds. Until an endpoint of the service has responded, the maximum
@@ -40,10 +40,10 @@
   /// platform.
   Duration SlowGap = std::chrono::milliseconds(250);
   /// How long an endpoint counts as known to serve after it responded.
-  Duration ProvenTime = std::chrono::seconds(2);
+  Duration KnownServingTime = std::chrono::seconds(2);
   /// Maximum number of requests at an endpoint of a service without an engine,
   /// as a multiple of its slots.
-  double PlainOverload = 2.0;
+  double MaxLoadWithoutEngine = 2.0;
 };
 
 } // namespace ospreyspur
--- a/include/ospreyspur/Direct/DirectNode.h
+++ b/include/ospreyspur/Direct/DirectNode.h
@@ -47,9 +47,9 @@
     Fleet.onReport(peer, now);
     Table.setPeerLoad(peer, loads, now);
   }
-  /// The process starts at \p now. From then on the limits on retries allow for
-  /// what processes that ended before may have spent, and for entries that are
-  /// listed but have not sent a report.
+  /// The process starts at \p now. From then on the retry budget accounts for
+  /// retries that earlier incarnations of this process may have sent, and for
+  /// entries that are listed but have not sent a report.
   void onProcessStarted(TimePoint now) {
     MustKnowFleet = true;
     Begin = now;
@@ -85,13 +85,13 @@
   /// Takes the result of CheckEndpoint.
   DirectActions onChecked(const EndpointId &id, EndpointLiveness liveness,
                           TimePoint now);
-  /// Takes what the entry \p peer knows of requests that crashed endpoints.
+  /// Merges the crash report of the entry \p peer.
   DirectActions onCrashReport(const std::string &peer,
                               const CrashReport &report, TimePoint now);
   /// Restores the requests that were quarantined before this process started.
   DirectActions restoreQuarantine(const std::vector<RequestDigest> &requests,
                                   TimePoint now);
-  /// Returns what to report to the other entries about such requests now.
+  /// Returns the crash report to send to the other entries now.
   CrashReport takeCrashReport(TimePoint now);
   /// The response headers of the endpoint \p id arrived. \p sentAt is when its
   /// request was sent. \p sentAt is unset if that time is unknown or the
@@ -113,7 +113,7 @@
   /// rate limits.
   bool isNew(TimePoint now) const;
   /// Whether this entry has no callers. The other entries may then use its
-  /// share of what endpoints accept.
+  /// share of the advertised rate limits.
   bool isIdle(TimePoint now) const;
   /// Returns the rate limits to report to the other entries now.
   std::vector<RateLimitRecord> takeRateReport(TimePoint now) {
@@ -186,23 +186,24 @@
   std::size_t waitingCount() const { return Waiting.size(); }
 
 private:
-  /// A run whose connection the endpoint closed early, kept until the liveness
-  /// of the endpoint is known.
-  struct CutRun {
+  /// An attempt whose connection the endpoint closed early, kept until the
+  /// liveness of the endpoint is known.
+  struct ClosedAttempt {
     RequestDigest Request;
     std::string Label;
     ServiceId Service;
     Duration Ran{};
   };
 
-  /// Maximum number of running suspect requests in one report; each takes one
-  /// of the slots that this entry uses.
-  static constexpr std::size_t MaxReportedRuns = 64;
+  /// Maximum number of attempts of suspect requests in one report. Each attempt
+  /// occupies one of the slots that this entry uses.
+  static constexpr std::size_t MaxReportedAttempts = 64;
 
-  void handleCutConnection(const CallState &call, TimePoint now);
-  void recordCrash(const EndpointId &id, const CutRun &run, TimePoint now);
+  void handleClosedConnection(const CallState &call, TimePoint now);
+  void recordCrash(const EndpointId &id, const ClosedAttempt &run,
+                   TimePoint now);
   void evaluateCrashes(TimePoint now);
-  void closeGroupOf(const EndpointId &id, TimePoint now);
+  void excludeGroupOf(const EndpointId &id, TimePoint now);
   void handleReportedCrashes(const CrashReport &report, TimePoint now);
   void quarantine(RequestDigest request, bool isFromPeer, TimePoint now);
   bool isSuspect(const CallState &call) const;
@@ -240,7 +241,7 @@
                     TimePoint now);
   void retry(CallState &call, ResultCode reason, TimePoint now);
   bool mayAttempt(const CallState &call, TimePoint now) const;
-  bool tryMigrate(CallState &call, MigrationReason reason, TimePoint now);
+  bool tryMigrate(CallState &call, StopReason reason, TimePoint now);
   bool startNext(CallState &call, TimePoint now);
   void releaseNext(CallState &call);
   void recordReceived(CallState &call, TimePoint now);
@@ -282,12 +283,14 @@
   /// Calls that wait for an endpoint, most urgent priority first, then oldest
   /// first.
   std::set<std::tuple<unsigned, TimePoint, CallId>> Waiting;
-  /// Calls whose current attempt is silent.
+  /// Calls whose current attempt is to be migrated if possible; see
+  /// CallState::IsSilent.
   std::set<CallId> Silent;
   std::vector<WaitLogRecord> WaitLogRecords;
   CrashTracker Crashes;
-  /// Runs that were cut at endpoints whose liveness is being checked.
-  std::map<EndpointId, std::vector<CutRun>> Checks;
+  /// Attempts whose connections were closed by endpoints whose liveness is
+  /// being checked.
+  std::map<EndpointId, std::vector<ClosedAttempt>> Checks;
   std::vector<CrashLogRecord> CrashLogRecords;
   DirectActions Out;
 };
--- a/include/ospreyspur/Direct/EndpointDocument.h
+++ b/include/ospreyspur/Direct/EndpointDocument.h
@@ -1,6 +1,6 @@
 //===- EndpointDocument.h - endpoint list as a JSON document ----*- C++ -*-===//
 //
-// Nodes exchange the endpoint list as one value with one revision.
+// Processes exchange the endpoint list as one value with one revision.
 //
 //===----------------------------------------------------------------------===//
 
--- a/include/ospreyspur/Direct/EndpointPicker.h
+++ b/include/ospreyspur/Direct/EndpointPicker.h
@@ -37,10 +37,10 @@
 
   /// Returns the endpoint for \p call; null if none has capacity for it.
   const EndpointState *pick(const CallState &call, TimePoint now) const;
-  /// Returns the endpoint for a call whose request may crash it: preferably not
-  /// one of \p others, where other such requests run, and in the group with the
-  /// fewest running requests. Returns null if there is none; with \p
-  /// mustBeIsolated, endpoints in \p others are excluded.
+  /// Returns the endpoint for a suspect request: preferably none of \p others,
+  /// which run other suspect requests, and one in the group with the fewest
+  /// running requests. Returns null if there is none; with \p mustBeIsolated,
+  /// endpoints in \p others are excluded.
   const EndpointState *pickIsolated(const CallState &call,
                                     const std::set<IncarnationDigest> &others,
                                     bool mustBeIsolated, TimePoint now) const;
@@ -52,9 +52,10 @@
   /// length before the deadline of \p call. The service must have an engine.
   bool canFinish(const EndpointState &state, const CallState &call,
                  TimePoint now) const;
-  /// Whether \p state's endpoint is suspect, is missing from the list, or
-  /// belongs to a group that is slow or stalled.
-  bool isDoubtful(const EndpointState &state, TimePoint now) const;
+  /// Whether \p state's endpoint is used only if there is no other: it is
+  /// avoided after failures, is missing from the list, or belongs to a group
+  /// that is slow or stalled.
+  bool isLastChoice(const EndpointState &state, TimePoint now) const;
   /// Returns how many endpoints of \p call's service have each obstacle.
   ObstacleCounts countObstacles(const CallState &call, TimePoint now) const;
   /// Endpoints of \p service.
--- a/include/ospreyspur/Direct/EndpointTable.h
+++ b/include/ospreyspur/Direct/EndpointTable.h
@@ -51,14 +51,14 @@
   /// Consecutive responses that reported a failed run.
   unsigned ConsecutiveFailedResponses = 0;
   /// Until this time the endpoint is used only if there is no other.
-  TimePoint SuspectUntil;
+  TimePoint AvoidedUntil;
   /// Until this time the endpoint counts as full, after it rejected a request
-  /// as full.
+  /// as full or reported that it has no free slots.
   TimePoint FullUntil;
   unsigned ConsecutiveFull = 0;
   /// When a response last began or completed, or a status report last said that
   /// the endpoint accepts requests and has free slots.
-  TimePoint ProvenAt;
+  TimePoint KnownServingAt;
   /// The endpoint's group, once reported.
   GroupId Group;
   /// Until this time the endpoint is excluded, as another incarnation has its
@@ -66,8 +66,8 @@
   /// entries that still have to announce this.
   TimePoint ReplacedUntil;
   unsigned RemainingReplacedReports = 0;
-  /// Whether the endpoint gets no requests until it reports that it accepts
-  /// them.
+  /// Whether the endpoint gets no requests until it or another rank of its
+  /// group reports that the group accepts them.
   bool MustReport = false;
   TimePoint QueryAt;
   /// Until this time other members of the group are queried, as the endpoint
@@ -87,8 +87,8 @@
 /// Load and health by endpoint.
 class EndpointTable {
 public:
-  static constexpr Duration FirstSuspicion = std::chrono::milliseconds(500);
-  static constexpr Duration LongestSuspicion = std::chrono::seconds(8);
+  static constexpr Duration FirstAvoidTime = std::chrono::milliseconds(500);
+  static constexpr Duration MaxAvoidTime = std::chrono::seconds(8);
   /// How long a replaced endpoint is excluded.
   static constexpr Duration ReplacedTime = std::chrono::minutes(1);
   /// Number of reports that announce a replaced endpoint, as datagrams may be
@@ -96,14 +96,16 @@
   static constexpr unsigned ReplacedReports = 3;
   static constexpr std::size_t MaxReplacedPerReport = 32;
   /// Number of consecutive failed responses from which on an endpoint is
-  /// suspect. One alone may be the fault of the request. An endpoint that fails
-  /// at once always has the least load: without this rule, the fifth of the
-  /// endpoints that failed received two thirds of all requests.
-  static constexpr unsigned SuspectFailedResponses = 2;
+  /// avoided. A single one may be the fault of the request. An endpoint that
+  /// fails requests immediately always has the least load: without this rule,
+  /// the 20% of the endpoints that failed received two thirds of all requests.
+  static constexpr unsigned AvoidAfterFailedResponses = 2;
   /// How long an endpoint that rejected a request as full gets no new ones:
   /// about two engine iterations. The time doubles with each consecutive
   /// rejection, as ranks whose group is being formed reject requests in the
-  /// same way.
+  /// same way. It also applies after a status report without free slots. An
+  /// endpoint that responds to status queries and has at most half of its slots
+  /// in use must report that it accepts requests instead.
   static constexpr Duration FullTime = std::chrono::milliseconds(100);
   static constexpr Duration LongestFullTime = std::chrono::milliseconds(400);
   /// Interval between status queries to an endpoint that accepts no requests.
@@ -117,16 +119,17 @@
   /// Inter-event gap of a group from which on its ranks are queried for their
   /// slowdown factors. Engine iterations of a full group with a well-fitting
   /// expert map stay below this value on the platform.
-  static constexpr Duration SlowIterationGap = std::chrono::milliseconds(180);
+  static constexpr Duration SlowdownQueryGap = std::chrono::milliseconds(180);
   /// Delay before a group is queried again after one of its endpoints crashed.
   /// The endpoint has to be restarted and the group formed, which takes 600 ms
   /// on the platform, where reports are 200 ms old.
   static constexpr Duration CrashedGroupDelay = std::chrono::milliseconds(500);
   /// Mean interval between slowdown queries of all entries to one endpoint; a
   /// reported factor is used for two intervals. Each entry draws the time of
-  /// its query at random and announces the result to the others. When 52
-  /// entries each queried 192 endpoints once a second, a day with 17,000
-  /// requests had 225,000 queries.
+  /// its query at random and announces the result to the others. If every entry
+  /// queried every endpoint itself, there would be many more queries than
+  /// requests: 52 entries that each queried 192 endpoints once a second sent
+  /// 225,000 queries on a day with 17,000 requests.
   static constexpr Duration SlowdownInterval = std::chrono::milliseconds(1000);
   /// Age at which another entry's load report no longer counts.
   static constexpr Duration MaxPeerLoadAge = std::chrono::seconds(1);
@@ -147,8 +150,8 @@
   void onEvents(const EndpointId &id, Duration gap, TimePoint now);
   /// \p wasDecoding says whether the first byte had arrived.
   void onEnded(const EndpointId &id, bool wasDecoding);
-  /// A stream's attempt ended after an idle period of \p silence.
-  void onSilence(const EndpointId &id, Duration silence, TimePoint now);
+  /// An attempt ended after an idle period of \p idleTime.
+  void onEndedIdle(const EndpointId &id, Duration idleTime, TimePoint now);
   void onSuccess(const EndpointId &id, TimePoint now);
   void onFailure(const EndpointId &id, TimePoint now);
   /// The endpoint responded that the run had failed.
--- a/include/ospreyspur/Direct/FleetConfig.h
+++ b/include/ospreyspur/Direct/FleetConfig.h
@@ -45,10 +45,10 @@
   std::string Prefix;
   RequestKind Kind = RequestKind::OnceOnly;
   std::vector<WeightedService> Services;
-  /// Maximum time for which a request is held.
+  /// Maximum time from a request's arrival to the end of its response.
   Duration Timeout = std::chrono::seconds(30);
-  /// Latency target: the time to first byte within which a response earns its
-  /// full value.
+  /// Latency target: the time from a request's arrival to the first byte of its
+  /// response.
   Duration Target = std::chrono::seconds(1);
   /// Target for the longest inter-event gap; zero if the route has none.
   Duration GapTarget{};
@@ -76,6 +76,8 @@
 /// Cost figures of a service's engine, as its operator states them.
 struct EngineCosts {
   unsigned Slots = 1;
+  /// Duration of an engine step: \c Step, plus \c StepPerRequest for each
+  /// running request. An engine iteration has \c StepsPerIteration steps.
   Duration Step{};
   Duration StepPerRequest{};
   double PrefillTokensPerSecond = 0;
--- a/include/ospreyspur/Direct/FleetSize.h
+++ b/include/ospreyspur/Direct/FleetSize.h
@@ -42,22 +42,22 @@
   /// Returns the names of the entries that count() counts, without this one.
   std::vector<std::string> others(Duration window, TimePoint now) const;
   /// Like others(), but without the entries whose latest report, at most \c
-  /// ReportDelay old, says that they have no callers.
+  /// MaxReportDelay old, says that they have no callers.
   std::vector<std::string> othersWithCallers(Duration window,
                                              TimePoint now) const;
   /// Whether the list was ever read. Before that, count() may be too small.
-  bool isListed() const { return HasList; }
+  bool hasList() const { return HasList; }
 
 private:
   /// Entries that have neither reported nor been listed for this time are
   /// dropped. The time is longer than any window.
   static constexpr Duration RetentionTime = std::chrono::hours(1);
   /// Upper bound on the time between sending and receiving a report.
-  static constexpr Duration ReportDelay = std::chrono::seconds(1);
+  static constexpr Duration MaxReportDelay = std::chrono::seconds(1);
 
   bool isIdle(const std::string &name, TimePoint now) const;
   static bool isRecent(TimePoint seenAt, Duration window, TimePoint now) {
-    return now - seenAt < window + ReportDelay;
+    return now - seenAt < window + MaxReportDelay;
   }
 
   std::set<std::string> Listed;
--- a/include/ospreyspur/Direct/GroupGaps.h
+++ b/include/ospreyspur/Direct/GroupGaps.h
@@ -22,17 +22,17 @@
 public:
   using Key = std::pair<ServiceId, GroupId>;
 
-  /// Without new events, the observed gap halves in this time, so that a group
-  /// without any requests is tried again.
+  /// While no stream of the group decodes, the observed gap halves in this
+  /// time, so that a group without any requests is tried again.
   static constexpr Duration HalfLife = std::chrono::seconds(1);
-  /// A stream with an idle period of at least this length is silent on its own
-  /// account if other streams of its group received events meanwhile. The value
-  /// is below the shortest idle period after which a stream is migrated.
-  static constexpr Duration OwnSilence = std::chrono::milliseconds(800);
-  /// Minimum number of streams that must be silent together to count as
-  /// evidence against the group. A single silent stream may be due to a hanging
+  /// If other streams of the group received events meanwhile, an idle period of
+  /// at least this length is attributed to the stream, not to its group. The
+  /// value is below the shortest idle period after which a stream is migrated.
+  static constexpr Duration MinStreamIdleTime = std::chrono::milliseconds(800);
+  /// Minimum number of decoding streams for an idle period to count as evidence
+  /// against the group. A single silent stream may be due to a hanging
   /// endpoint.
-  static constexpr unsigned MinSilentStreams = 2;
+  static constexpr unsigned MinDecodingStreams = 2;
 
   // Commands.
 
@@ -42,8 +42,8 @@
   void onEvents(const Key &group, Duration gap, TimePoint now);
   /// A decoding stream has ended.
   void onEnded(const Key &group);
-  /// A stream's attempt ended after an idle period of \p silence.
-  void onSilence(const Key &group, Duration silence, TimePoint now);
+  /// An attempt ended after an idle period of \p idleTime.
+  void onEndedIdle(const Key &group, Duration idleTime, TimePoint now);
 
   // Queries.
 
--- a/include/ospreyspur/Direct/NodeRegistry.h
+++ b/include/ospreyspur/Direct/NodeRegistry.h
@@ -59,14 +59,14 @@
   void onWritten(const KvReply &reply, TimePoint now);
   /// Returns the call that reads all records, if one is due.
   std::optional<KvCall> nextRead(TimePoint now);
-  /// Returns true if the known nodes have changed or have been read for the
+  /// Returns true if the known processes have changed or have been read for the
   /// first time.
   bool onRead(const KvReply &reply, TimePoint now);
 
   // Queries.
 
   TimePoint nextTimer() const { return std::min(WriteAt, ReadAt); }
-  /// Returns the other nodes.
+  /// Returns the records of the other processes.
   std::vector<NodeRecord> others() const;
   /// Whether the records were ever read.
   bool hasRead() const { return HasRead; }
--- a/include/ospreyspur/Direct/RetryWindow.h
+++ b/include/ospreyspur/Direct/RetryWindow.h
@@ -1,15 +1,14 @@
 //===- RetryWindow.h - retry budget of one entry ----------------*- C++ -*-===//
 //
-// The platform limits how many arrivals beyond the first of each request all
-// entries together may send to a service in any time window. Each entry uses at
-// most its share: a part of the fixed allowance, and a ratio of its own
-// requests.
+// The platform limits the retries that all entries together may send to a
+// service in any time window. Each entry uses at most its share of this retry
+// budget: a part of the fixed allowance, and a ratio of its own requests.
 //
 // A restarted process does not know what its predecessor spent in the same
-// window. In its first window a process therefore uses a part that the
-// predecessor cannot have used: a fraction of the ratio for its own requests,
-// and of the allowance in proportion to its age. The sum over any number of
-// restarts in one window stays within the entry's share.
+// window. In its first window a process therefore uses only a part that the
+// predecessor cannot have used: FirstWindowPart of the ratio for its own
+// requests, and of the fixed allowance a part in proportion to its age. The sum
+// over any number of restarts in one window stays within the entry's share.
 //
 //===----------------------------------------------------------------------===//
 
--- a/include/ospreyspur/Direct/WaitLogRecord.h
+++ b/include/ospreyspur/Direct/WaitLogRecord.h
@@ -20,17 +20,19 @@
   None,
   /// The endpoint is draining or has left.
   Leaving,
-  /// The request has already been sent to the endpoint.
+  /// An attempt at the endpoint was started before, even if no connection could
+  /// be established.
   Tried,
   /// The endpoint recently rejected a request as full, its address belongs to
   /// another incarnation, or it has not reported that it accepts requests.
   Closed,
   /// The request was rejected once, and the endpoint is not known to serve at
   /// present.
-  Unproven,
+  NotKnownToServe,
   /// The response would not complete before the deadline there.
   TooSlow,
-  /// All slots of the endpoint are in use.
+  /// The endpoint has as many requests as it may get, given its slots and its
+  /// slowdown factor.
   Full,
   /// The endpoint advertised a rate limit, and this entry's share of it is used
   /// up at present.
@@ -56,7 +58,9 @@
   /// Number of attempts that its route still allows.
   unsigned AttemptsLeft = 0;
   bool IsSilent = false;
-  /// Whether the entry's retry budget allows one more retry to the service now.
+  /// Whether the request may be sent as far as the entry's retry budget is
+  /// concerned: the budget allows one more retry to the service now, or the
+  /// request has never been sent.
   bool HasRetry = true;
   /// Number of entries that share the retry allowance; 0 if unknown.
   std::size_t Entries = 0;
--- a/include/ospreyspur/Pushback/Pushback.h
+++ b/include/ospreyspur/Pushback/Pushback.h
@@ -1,8 +1,9 @@
 //===- Pushback.h - load hints in the head of a response --------*- C++ -*-===//
 //
-// An endpoint may send its rate limit, a backoff and its leaving state in the
-// head of any response: also in one that refuses a request, reports a failed
-// run or belongs to another request.
+// An endpoint may send its rate limit and its leaving state in the head of any
+// response: also in one that refuses a request, reports a failed run or belongs
+// to another request. A backoff is read only from a refusal, which has status
+// 429 or 503.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +21,7 @@
 /// Longer backoffs are shortened to this time.
 inline constexpr Duration MaxBackoff = std::chrono::hours(1);
 
-/// The load hints of one response. A header value that cannot be parsed has no
+/// The pushback of one response. A header value that cannot be parsed has no
 /// effect.
 struct Pushback {
   /// The advertised rate limit: requests per second that the endpoint accepts
--- a/include/ospreyspur/Pushback/RateLimits.h
+++ b/include/ospreyspur/Pushback/RateLimits.h
@@ -3,9 +3,10 @@
 // An endpoint may advertise how many requests per second it accepts from all
 // entries together. The limit is divided among a few entries, the rate limit
 // owners, which every entry computes by rendezvous hashing; all other entries
-// send the endpoint nothing. This also bounds the sum of the first requests of
-// all entries, however many entries there are. Entries whose membership views
-// differ by one member choose at most one additional owner between them.
+// send the endpoint nothing. As only the owners send requests, the sum of the
+// first requests that their token buckets allow is bounded too, however many
+// entries there are. Entries whose membership views differ by one member choose
+// at most one additional owner between them.
 //
 // If two responses advertise different limits, the later one applies. If their
 // order is unknown, the stricter one applies, as responses on different
@@ -144,7 +145,8 @@
   };
 
   /// Upper estimate of the time from sending a report to its arrival.
-  static constexpr Duration ReportDelay = std::chrono::milliseconds(100);
+  static constexpr Duration EstimatedReportDelay =
+      std::chrono::milliseconds(100);
   static constexpr std::size_t MaxLogRecords = 64;
   /// The number of entries that announce a limit again when another entry
   /// starts.
--- a/include/ospreyspur/Quarantine/CrashLogRecord.h
+++ b/include/ospreyspur/Quarantine/CrashLogRecord.h
@@ -14,13 +14,12 @@
 
 namespace ospreyspur {
 
-/// One verdict on a request.
+/// One crash under a request, or the verdict that quarantines it.
 struct CrashLogRecord {
   RequestDigest Request;
-  /// The caller's label for the attempt; empty if the attempt ran at another
-  /// entry.
+  /// The caller's label for the attempt; empty in the record of a quarantine.
   std::string Label;
-  /// The endpoint that crashed; empty if another entry saw the crash.
+  /// The endpoint that crashed; empty in the record of a quarantine.
   EndpointId Endpoint;
   Duration Ran{};
   /// The number of incarnations that crashed while they ran the request, and
--- a/include/ospreyspur/Quarantine/CrashReport.h
+++ b/include/ospreyspur/Quarantine/CrashReport.h
@@ -41,7 +41,8 @@
   std::vector<ReportedCrash> Crashes;
   /// The number of endpoints of the request's service.
   std::size_t Endpoints = 1;
-  /// Time since the request was last received.
+  /// Time since the request was last received or an endpoint last crashed under
+  /// it.
   Duration SeenAge{};
   std::optional<Duration> ClearedAge;
   std::optional<Duration> QuarantinedAge;
--- a/include/ospreyspur/Quarantine/CrashTracker.h
+++ b/include/ospreyspur/Quarantine/CrashTracker.h
@@ -41,8 +41,8 @@
   /// How long a request is kept after it was last received or an endpoint last
   /// crashed under it.
   Duration KeepRecords = std::chrono::minutes(10);
-  /// How long a cleared request is announced, so that no late record revives
-  /// it.
+  /// How long the record of a cleared request is kept, so that a late record
+  /// does not make the request suspect again.
   Duration KeepCleared = std::chrono::seconds(20);
   /// A request is quarantined at this number of crashes, however many other
   /// endpoints crash. On the platform a request has two attempts and is sent
@@ -51,7 +51,7 @@
   /// A request with fewer crashes is quarantined if endpoints that crash for
   /// other reasons cause as many with at most this probability. It corresponds
   /// to one request among those of several hours.
-  double Chance = 1e-6;
+  double MaxInnocentProbability = 1e-6;
   /// How long the verdict on a request waits after a crash, so that all entries
   /// have reported by then which other requests ran on the endpoint. An entry
   /// batches its report for 8 ms, and a lost report has to be repeated.
@@ -149,7 +149,8 @@
   std::vector<RequestDigest> quarantined() const;
   /// The requests that were cleared recently.
   std::vector<RequestDigest> cleared() const;
-  /// Grows whenever a request is quarantined, or cleared after that.
+  /// Grows whenever a request is quarantined, is cleared after that, or its
+  /// quarantine expires.
   std::uint64_t quarantineChanges() const { return Changes; }
 
 private:
--- a/include/ospreyspur/Quarantine/QuarantineStore.h
+++ b/include/ospreyspur/Quarantine/QuarantineStore.h
@@ -1,10 +1,11 @@
 //===- QuarantineStore.h - persists quarantined requests --------*- C++ -*-===//
 //
 // The state machine that keeps the quarantined requests in the key-value store,
-// so that they outlive all entries. It is read once, when a process
-// begins; later news come from the other entries, also while the store is out.
-// One key holds all quarantined requests under a lease. The store deletes the
-// key if no entry writes it for the duration of the lease.
+// so that they outlive all entries. A starting process restores the stored
+// requests. It learns of later ones from the other entries, also during an
+// outage of the store, and reads the store again only before it writes or
+// renews the key. One key holds all quarantined requests under a lease. The
+// store deletes the key if no entry writes it for the duration of the lease.
 //
 //===----------------------------------------------------------------------===//
 
--- a/lib/Direct/DirectCrashes.cpp
+++ b/lib/Direct/DirectCrashes.cpp
@@ -19,15 +19,15 @@
 static constexpr Duration CopyStartSpread = std::chrono::milliseconds(200);
 
 /// Handles an endpoint that closed the connection of the current attempt early.
-/// A cut connection alone does not prove a crash, so the endpoint's liveness is
-/// checked before the request is sent to another endpoint.
-void DirectNode::handleCutConnection(const CallState &call, TimePoint now) {
+/// A closed connection alone does not prove a crash, so the endpoint's liveness
+/// is checked before the request is sent to another endpoint.
+void DirectNode::handleClosedConnection(const CallState &call, TimePoint now) {
   const EndpointState *state = Table.find(*call.Current);
   bool isPlanned = !state || state->Record.IsLeaving || state->IsMissing;
   if (isPlanned || call.Request.Digest == RequestDigest())
     return;
-  CutRun run{call.Request.Digest, call.Request.Label, call.Service,
-             now - call.SentAt};
+  ClosedAttempt run{call.Request.Digest, call.Request.Label, call.Service,
+                    now - call.SentAt};
   IncarnationDigest incarnation = digestIncarnation(*call.Current);
   if (std::optional<TimePoint> ended = Crashes.crashTimeOf(incarnation)) {
     if (call.SentAt < *ended)
@@ -45,18 +45,18 @@
   auto it = Checks.find(id);
   if (it == Checks.end())
     return takeActions();
-  std::vector<CutRun> runs = std::move(it->second);
+  std::vector<ClosedAttempt> runs = std::move(it->second);
   Checks.erase(it);
   if (liveness == EndpointLiveness::Exited) {
-    closeGroupOf(id, now);
-    for (const CutRun &run : runs)
+    excludeGroupOf(id, now);
+    for (const ClosedAttempt &run : runs)
       recordCrash(id, run, now);
   }
   startWaiting(now);
   return takeActions();
 }
 
-void DirectNode::recordCrash(const EndpointId &id, const CutRun &run,
+void DirectNode::recordCrash(const EndpointId &id, const ClosedAttempt &run,
                              TimePoint now) {
   std::size_t endpoints = Picker.countEndpoints(run.Service);
   Crashes.onCrash(run.Request, digestIncarnation(id), run.Ran, endpoints, now);
@@ -79,11 +79,12 @@
   endQuarantined(request, now);
 }
 
-/// When one rank of a group has exited, the other ranks stall and cut their
-/// running requests after a second or two. A request sent there meanwhile would
-/// wait as long for its rejection, while those that run there can be migrated
-/// now.
-void DirectNode::closeGroupOf(const EndpointId &id, TimePoint now) {
+/// Stops sending requests to the group of \p id and marks its resumable streams
+/// for migration. When one rank of a group has exited, the other ranks stall
+/// and end their running requests after a second or two. A request sent there
+/// meanwhile would wait as long for its rejection, while those that run there
+/// can be migrated now.
+void DirectNode::excludeGroupOf(const EndpointId &id, TimePoint now) {
   for (const EndpointId &member : Table.onIncarnationEnded(id, now))
     for (auto &[callId, call] : Calls) {
       bool isThere = call.Current == member && member != id;
@@ -110,7 +111,7 @@
     if (fresh.contains(state.Incarnation))
       ended.push_back(id);
   for (const EndpointId &it : ended)
-    closeGroupOf(it, now);
+    excludeGroupOf(it, now);
 }
 
 DirectActions DirectNode::onCrashReport(const std::string &peer,
@@ -140,7 +141,7 @@
   for (const auto &[id, call] : Calls) {
     bool isSuspect = call.Current && Crashes.verdictOf(call.Request.Digest) ==
                                          CrashVerdict::Suspect;
-    if (isSuspect && out.SuspectAttempts.size() < MaxReportedRuns)
+    if (isSuspect && out.SuspectAttempts.size() < MaxReportedAttempts)
       out.SuspectAttempts.push_back(
           {call.Request.Digest, digestIncarnation(*call.Current)});
   }
@@ -180,8 +181,9 @@
 bool DirectNode::mustDefer(const CallState &call, TimePoint now) const {
   RequestDigest request = call.Request.Digest;
   for (const auto &[id, runs] : Checks)
-    if (std::any_of(runs.begin(), runs.end(),
-                    [&](const CutRun &it) { return it.Request == request; }))
+    if (std::any_of(runs.begin(), runs.end(), [&](const ClosedAttempt &it) {
+          return it.Request == request;
+        }))
       return true;
   if (!isSuspect(call))
     return false;
@@ -210,9 +212,10 @@
   return out;
 }
 
-/// Ends every call of \p request at once. An attempt in progress may not have
-/// started at its endpoint yet, so the attempt is stopped unless that would
-/// leave its caller uncertain whether the request ran.
+/// Ends the waiting calls of \p request. An attempt in progress may not have
+/// started at its endpoint yet, so the attempt is stopped, and onAttemptEnded()
+/// ends its call. If that would leave the caller uncertain whether the request
+/// ran, the attempt runs on.
 void DirectNode::endQuarantined(RequestDigest request, TimePoint now) {
   std::vector<CallId> waiting;
   for (auto &[id, call] : Calls) {
@@ -225,7 +228,7 @@
     if (call.IsStopping || !call.Request.Route->isRepeatable())
       continue;
     call.IsStopping = true;
-    Out.emplace_back(StopAttempt{id, MigrationReason::Quarantined, Duration(),
+    Out.emplace_back(StopAttempt{id, StopReason::Quarantined, Duration(),
                                  call.Deadline - now});
   }
   for (CallId id : waiting)
--- a/lib/Direct/DirectMigrations.cpp
+++ b/lib/Direct/DirectMigrations.cpp
@@ -22,7 +22,7 @@
     Silent.insert(id);
     Table.onFailure(*call.Current, now);
   }
-  if (!tryMigrate(call, MigrationReason::Silent, now) && isNew)
+  if (!tryMigrate(call, StopReason::Silent, now) && isNew)
     recordWait(call, now);
   return takeActions();
 }
@@ -37,11 +37,10 @@
 }
 
 /// Stops the current attempt if the call is certain to continue at another
-/// endpoint: a slot there and a retry from the budget are reserved first. When
-/// both were only looked up, many streams were stopped for the same slot, and
-/// those that found the slot taken were cut.
-bool DirectNode::tryMigrate(CallState &call, MigrationReason reason,
-                            TimePoint now) {
+/// endpoint: a slot there and a retry from the budget are reserved first.
+/// Otherwise many streams would be stopped for the same slot, and those that
+/// find the slot taken would be ended.
+bool DirectNode::tryMigrate(CallState &call, StopReason reason, TimePoint now) {
   if (!Rates.isEmpty())
     refreshMembers(now);
   const RouteRule &route = *call.Request.Route;
@@ -52,7 +51,7 @@
       !mayAttempt(call, now) || !Retries.canSpend(call.Service, entries, now))
     return false;
   const EndpointState *state = Picker.pick(call, now);
-  if (!state || Picker.isDoubtful(*state, now))
+  if (!state || Picker.isLastChoice(*state, now))
     return false;
   Retries.spend(call.Service, entries, now);
   call.IsNextCharged = Rates.isLimited(state->Incarnation);
--- a/lib/Direct/DirectNode.cpp
+++ b/lib/Direct/DirectNode.cpp
@@ -12,8 +12,8 @@
 
 using namespace ospreyspur;
 
-/// How long a request whose endpoint cut the connection may wait for the
-/// endpoint's liveness to be known, regardless of how long it has waited.
+/// How long a request whose endpoint closed the connection early may wait for
+/// the endpoint's liveness to be known, regardless of how long it has waited.
 /// The check takes at most 0.3 s and the evaluation 0.1 s.
 static constexpr Duration LivenessCheckWait = std::chrono::milliseconds(500);
 
@@ -82,7 +82,7 @@
   if (gap > Duration::zero())
     Table.onEvents(*call.Current, gap, now);
   if (isTooSlow(call, now))
-    tryMigrate(call, MigrationReason::TooSlow, now);
+    tryMigrate(call, StopReason::TooSlow, now);
   return takeActions();
 }
 
@@ -117,7 +117,7 @@
   bool isRepeatable = route.isRepeatable();
   recordOutcome(call, end, now);
   if (connection == ConnectionEnd::Endpoint)
-    handleCutConnection(call, now);
+    handleClosedConnection(call, now);
   if (end == AttemptEnd::Complete || end == AttemptEnd::Failed)
     Crashes.onCompleteResponse(call.Request.Digest, now);
   // The endpoint's rate limit, backoff or draining state decides when the
@@ -132,9 +132,10 @@
     break;
   case AttemptEnd::Full:
     call.WasRejected = true;
-    // The request did not run there. When a group breaks, its other ranks
-    // reject the streams that broke off; cutting those callers in mid-stream
-    // would cost more than the retry that this takes anyway.
+    // The request did not run there. A rejection does not count as an attempt
+    // of a stream that has begun: when a rank exits, the other ranks of its
+    // group reject such streams, and ending those would cost more than the
+    // retry that each rejection takes anyway.
     if (call.HasBegun)
       --call.Attempts;
     retry(call, ResultCode::QueueFull, now);
@@ -148,7 +149,7 @@
   case AttemptEnd::Withheld:
     --call.Attempts;
     // An attempt that was not sent is not a retry.
-    if (--call.Arrivals > 0)
+    if (--call.Sends > 0)
       Retries.refund(call.Service);
     if (!startNext(call, now))
       startOrWait(call, now);
@@ -252,11 +253,11 @@
 }
 
 void DirectNode::recordWait(const CallState &call, TimePoint now) {
-  bool hasRetry = call.Arrivals == 0 ||
+  bool hasRetry = call.Sends == 0 ||
                   Retries.canSpend(call.Service, countSharingEntries(now), now);
   unsigned attempts = call.Request.Route->Attempts;
   unsigned left = attempts - std::min(attempts, call.Attempts);
-  WaitLogRecords.push_back({call.Request.Id, call.Arrivals, left, call.IsSilent,
+  WaitLogRecords.push_back({call.Request.Id, call.Sends, left, call.IsSilent,
                             hasRetry, countSharingEntries(now),
                             Picker.countObstacles(call, now)});
 }
@@ -272,7 +273,7 @@
       isSuspect(call) ? pickForSuspect(call, now) : Picker.pick(call, now);
   if (!state)
     return false;
-  bool isRetry = call.Arrivals > 0;
+  bool isRetry = call.Sends > 0;
   if (isRetry && !Retries.spend(call.Service, countSharingEntries(now), now))
     return false;
   call.IsCharged = Rates.isLimited(state->Incarnation);
@@ -285,7 +286,7 @@
 /// Returns the number of entries that share the retry allowance; 0 while their
 /// number is unknown.
 std::size_t DirectNode::countSharingEntries(TimePoint now) const {
-  if (MustKnowFleet && !Fleet.isListed())
+  if (MustKnowFleet && !Fleet.hasList())
     return 0;
   return Fleet.count(Retries.limits().Window, now);
 }
@@ -294,7 +295,7 @@
 void DirectNode::startAttempt(CallState &call, const EndpointRecord &endpoint,
                               TimePoint now) {
   ++call.Attempts;
-  ++call.Arrivals;
+  ++call.Sends;
   call.Current = endpoint.Id;
   call.IsStopping = false;
   call.SentAt = now;
@@ -312,7 +313,7 @@
 void DirectNode::startWaiting(TimePoint now) {
   startWaiting(true, now);
   for (CallId id : std::vector<CallId>(Silent.begin(), Silent.end()))
-    tryMigrate(Calls.at(id), MigrationReason::Silent, now);
+    tryMigrate(Calls.at(id), StopReason::Silent, now);
   startWaiting(false, now);
 }
 
@@ -328,14 +329,15 @@
 bool DirectNode::mayAttempt(const CallState &call, TimePoint now) const {
   const RouteRule &route = *call.Request.Route;
   return (!call.MayHaveRun || route.isRepeatable()) &&
-         call.Attempts < route.Attempts && call.Arrivals < Limits.MaxArrivals &&
+         call.Attempts < route.Attempts && call.Sends < Limits.MaxSends &&
          now < call.Deadline;
 }
 
-/// The call did not run, or may run again: tries another endpoint, or waits for
-/// one. When a group breaks, the other endpoints may not have capacity for all
-/// of its streams at once. If those streams were cut, their callers would send
-/// them again, and each caller may retry only once.
+/// Retries a call that did not run or may run again: starts an attempt, waits
+/// for an endpoint, or ends the call, with \p reason if no other reason
+/// applies. When a group fails, the other endpoints may not have capacity for
+/// all of its streams at once. If those streams were ended, their callers would
+/// send them again, and each caller may retry only once.
 void DirectNode::retry(CallState &call, ResultCode reason, TimePoint now) {
   if (Crashes.verdictOf(call.Request.Digest) == CrashVerdict::Quarantined) {
     end(call, ResultCode::RequestQuarantined, Duration::zero());
@@ -411,12 +413,13 @@
   case AttemptEnd::NeverSent:
   case AttemptEnd::Lost:
   case AttemptEnd::BrokeOff:
-    // The idle period of a silent attempt has already been recorded. An attempt
-    // that was stopped here or by its deadline is no sign of a failure.
+    // For a silent attempt, onSilent() has already recorded a failure, or the
+    // cause is the crash of another rank of the group. An attempt that was
+    // stopped here or by its deadline is no sign of a failure.
     if (!call.IsSilent && !call.IsStopping && now < call.Deadline)
       Table.onFailure(id, now);
     if (now - call.ReceivedAt >= call.MaxIdleTime)
-      Table.onSilence(id, now - call.ReceivedAt, now);
+      Table.onEndedIdle(id, now - call.ReceivedAt, now);
     break;
   }
 }
--- a/lib/Direct/DirectPushback.cpp
+++ b/lib/Direct/DirectPushback.cpp
@@ -25,7 +25,7 @@
 /// know.
 static constexpr Duration StartupQueryTime = std::chrono::seconds(1);
 /// Bounds of the time after which a refused caller should retry, and the upper
-/// bound where endpoints asked for the wait.
+/// bound if a rate limit or a backoff is the reason for the refusal.
 static constexpr Duration MinRetryAfter = std::chrono::milliseconds(150);
 static constexpr Duration MaxRetryAfter = std::chrono::seconds(2);
 static constexpr Duration MaxPushbackRetryAfter = std::chrono::seconds(10);
@@ -36,7 +36,7 @@
   MembersAt = now;
   FleetMembers members;
   members.Self = digest64(Name);
-  members.IsComplete = !MustKnowFleet || Fleet.isListed();
+  members.IsComplete = !MustKnowFleet || Fleet.hasList();
   Duration window = Retries.limits().Window;
   bool isSettled = ActiveSince && now - *ActiveSince >= ActiveSettleTime;
   for (const std::string &it : isSettled ? Fleet.othersWithCallers(window, now)
@@ -149,7 +149,7 @@
   };
   unsigned others = countOf(Obstacle::None) + countOf(Obstacle::Full) +
                     countOf(Obstacle::Closed) + countOf(Obstacle::TooSlow) +
-                    countOf(Obstacle::Unproven);
+                    countOf(Obstacle::NotKnownToServe);
   if (others > 0)
     return ResultCode::Ok;
   if (countOf(Obstacle::RateLimited) > 0)
@@ -158,9 +158,9 @@
                                         : ResultCode::Ok;
 }
 
-/// Whether a call held back by its endpoints' requests cannot be started before
-/// its wait ends: the backoffs last longer, and what this entry may send by
-/// then is used up by the calls that wait.
+/// Whether rate limits and backoffs keep \p call from starting before its wait
+/// ends: the other waiting calls use up what this entry may send by then to
+/// endpoints whose backoff has ended.
 bool DirectNode::isUnservable(const CallState &call, TimePoint now) const {
   if (pushbackReason(call, now) == ResultCode::Ok)
     return false;
@@ -193,9 +193,9 @@
       endNotRun(call, ResultCode::NoEndpoint, now);
 }
 
-/// Returns when a refused caller may find capacity: the time to serve all
-/// waiting calls, at the rate at which a fully loaded service completes
-/// requests.
+/// Returns the time after which a refused caller may find capacity: an estimate
+/// of the time to serve the waiting calls of all services, at the rate at which
+/// the service completes the requests that it runs now.
 Duration DirectNode::expectedQueueDelay(const CallState &call,
                                         TimePoint now) const {
   unsigned running = 0;
--- a/lib/Direct/EndpointPicker.cpp
+++ b/lib/Direct/EndpointPicker.cpp
@@ -17,7 +17,7 @@
 /// Age of another entry's load report when this entry sends a request based on
 /// it. Reports are batched for 8 ms; transport and the wake-up on a busy host
 /// take a few more.
-static constexpr Duration ReportDelay = std::chrono::milliseconds(12);
+static constexpr Duration LoadReportAge = std::chrono::milliseconds(12);
 
 /// Returns the least loaded endpoint of a random sample of those with capacity.
 /// Suspect and missing endpoints and those of slow or stalled groups are used
@@ -35,9 +35,9 @@
     if (obstacleAt(state, call, now) != Obstacle::None)
       continue;
     bool isFar = state.Record.DataCentre != DataCentre;
-    bool isDoubted = isDoubtful(state, now);
-    wanted -= isDoubted ? 0 : 1;
-    std::tuple cost(isDoubted, costOf(state, call, now), isFar);
+    bool isLast = isLastChoice(state, now);
+    wanted -= isLast ? 0 : 1;
+    std::tuple cost(isLast, costOf(state, call, now), isFar);
     if (best && cost >= bestCost)
       continue;
     best = &state;
@@ -72,7 +72,7 @@
   std::shuffle(usable.begin(), usable.end(), Random);
   auto costOfIt = [&](const EndpointState *it) {
     bool isGrouped = !it->Group.get().empty();
-    return std::tuple(isDoubtful(*it, now), others.contains(it->Incarnation),
+    return std::tuple(isLastChoice(*it, now), others.contains(it->Incarnation),
                       isGrouped ? running.at(it->Group) : 0U,
                       Table.totalLoad(*it, now).Running);
   };
@@ -93,9 +93,9 @@
 
 /// Returns the number of endpoints to sample. The requests that other entries
 /// send before this entry receives their load reports would all go to the
-/// endpoint with the lowest reported load. With 52 entries and some five such
-/// requests, 68 of 2,511 requests came to a full endpoint in a simulation with
-/// a third of all slots free; with sampling fewer than one in 500. The sample
+/// endpoint with the lowest reported load. In a simulation with 52 entries,
+/// some five such requests and a third of all slots free, 68 of 2,511 requests
+/// came to a full endpoint; with sampling fewer than one in 500 did. The sample
 /// is therefore small enough that each of these requests finds an endpoint of
 /// its own.
 std::size_t EndpointPicker::sampleSize(const ServiceId &service,
@@ -104,14 +104,14 @@
   double others = Arrivals.perSecond(service, now) *
                   static_cast<double>(Table.livePeers(now));
   double unreported =
-      others * std::chrono::duration<double>(ReportDelay).count();
+      others * std::chrono::duration<double>(LoadReportAge).count();
   return static_cast<std::size_t>(
       std::ceil(static_cast<double>(endpoints) / (1 + unreported)));
 }
 
-bool EndpointPicker::isDoubtful(const EndpointState &state,
-                                TimePoint now) const {
-  return state.IsMissing || now < state.SuspectUntil ||
+bool EndpointPicker::isLastChoice(const EndpointState &state,
+                                  TimePoint now) const {
+  return state.IsMissing || now < state.AvoidedUntil ||
          Table.gapOf(state, now) > Limits.SlowGap;
 }
 
@@ -128,13 +128,14 @@
     return Obstacle::Closed;
   // A rejection does not count as an attempt of a stream that has begun.
   if (call.WasRejected && !call.HasBegun &&
-      now - state.ProvenAt > Limits.ProvenTime)
-    return Obstacle::Unproven;
+      now - state.KnownServingAt > Limits.KnownServingTime)
+    return Obstacle::NotKnownToServe;
   const ServiceRule *service = call.Request.Config->findService(call.Service);
   bool isEngine = service && service->Engine;
   if (isEngine && !canFinish(state, call, now))
     return Obstacle::TooSlow;
-  double limit = state.Record.Slots * (isEngine ? 1.0 : Limits.PlainOverload);
+  double limit =
+      state.Record.Slots * (isEngine ? 1.0 : Limits.MaxLoadWithoutEngine);
   // All ranks of a group wait for the slowest one, so a slow rank's share of
   // requests is reduced by its slowdown factor.
   bool isFull = Table.totalLoad(state, now).Running >=
@@ -170,10 +171,11 @@
          call.Deadline - now;
 }
 
-/// Returns the time in seconds that the load at an endpoint adds to each of its
-/// engine iterations; for a service without an engine, the fraction of slots in
-/// use. The current duration of the group's iterations is left out: it depends
-/// on the expert map, which changes just as fast.
+/// Returns the load of an endpoint in seconds: the time that its running
+/// requests add to an engine iteration, plus the time to prefill all pending
+/// prompts, times the slowdown factor; for a service without an engine, the
+/// fraction of slots in use. The current duration of the group's iterations is
+/// left out: it depends on the expert map and changes as fast as the map does.
 double EndpointPicker::costOf(const EndpointState &state, const CallState &call,
                               TimePoint now) const {
   EndpointLoad load = Table.totalLoad(state, now);
--- a/lib/Direct/EndpointTable.cpp
+++ b/lib/Direct/EndpointTable.cpp
@@ -12,7 +12,7 @@
 
 using namespace ospreyspur;
 
-/// Upper bound on the number of doublings. The longest suspicion time is
+/// Upper bound on the number of doublings. MaxAvoidTime and LongestFullTime are
 /// reached before.
 static constexpr unsigned MaxDoublings = 10;
 
@@ -70,7 +70,7 @@
                                 TimePoint now) {
   dropPendingPrompt(id, promptTokens);
   if (EndpointState *it = findMutable(id)) {
-    it->ProvenAt = now;
+    it->KnownServingAt = now;
     Gaps.onBegun(groupKey(*it), now);
   }
 }
@@ -81,10 +81,10 @@
     Gaps.onEvents(groupKey(*it), gap, now);
 }
 
-void EndpointTable::onSilence(const EndpointId &id, Duration silence,
-                              TimePoint now) {
+void EndpointTable::onEndedIdle(const EndpointId &id, Duration idleTime,
+                                TimePoint now) {
   if (EndpointState *it = findMutable(id))
-    Gaps.onSilence(groupKey(*it), silence, now);
+    Gaps.onEndedIdle(groupKey(*it), idleTime, now);
 }
 
 Duration EndpointTable::gapOf(const EndpointState &state, TimePoint now) const {
@@ -114,27 +114,27 @@
 
 void EndpointTable::onSuccess(const EndpointId &id, TimePoint now) {
   if (EndpointState *it = findMutable(id)) {
-    it->ProvenAt = now;
+    it->KnownServingAt = now;
     it->ConsecutiveFailures = 0;
     it->ConsecutiveFailedResponses = 0;
     it->ConsecutiveFull = 0;
-    it->SuspectUntil = TimePoint();
+    it->AvoidedUntil = TimePoint();
   }
 }
 
 void EndpointTable::onFailure(const EndpointId &id, TimePoint now) {
   EndpointState *it = findMutable(id);
-  // Failures during the suspicion time count as one failure.
-  if (!it || now < it->SuspectUntil)
+  // Failures while the endpoint is avoided count as one failure.
+  if (!it || now < it->AvoidedUntil)
     return;
-  Duration duration = FirstSuspicion * (1U << it->ConsecutiveFailures);
-  it->SuspectUntil = now + std::min(duration, LongestSuspicion);
+  Duration duration = FirstAvoidTime * (1U << it->ConsecutiveFailures);
+  it->AvoidedUntil = now + std::min(duration, MaxAvoidTime);
   it->ConsecutiveFailures = std::min(it->ConsecutiveFailures + 1, MaxDoublings);
 }
 
 void EndpointTable::onFailedResponse(const EndpointId &id, TimePoint now) {
   EndpointState *it = findMutable(id);
-  if (it && ++it->ConsecutiveFailedResponses >= SuspectFailedResponses)
+  if (it && ++it->ConsecutiveFailedResponses >= AvoidAfterFailedResponses)
     onFailure(id, now);
 }
 
@@ -241,20 +241,23 @@
                                    std::mt19937_64 &random) {
   std::vector<EndpointRecord> out;
   std::size_t others = livePeers(now);
-  // Each entry's interval is uniform in [0, 2 * SlowdownInterval * entries], so
-  // the mean interval between the queries of all entries is SlowdownInterval.
-  Duration turns =
+  // Each entry's interval is drawn from [0, 2 * SlowdownInterval * entries] and
+  // is at least SlowdownInterval, so the mean interval between the queries of
+  // all entries is about SlowdownInterval. Without other entries it is
+  // SlowdownInterval.
+  Duration maxInterval =
       others > 0 ? 2 * SlowdownInterval * int(others + 1) : Duration();
-  std::uniform_int_distribution<Duration::rep> turn(0, turns.count());
+  std::uniform_int_distribution<Duration::rep> drawInterval(
+      0, maxInterval.count());
   for (auto &[id, state] : States) {
-    bool isSlow = state.Record.AnswersStatusQueries &&
-                  gapOf(state, now) >= SlowIterationGap;
-    if (!isSlow || state.MustReport) {
+    bool mayBeSlow = state.Record.AnswersStatusQueries &&
+                     gapOf(state, now) >= SlowdownQueryGap;
+    if (!mayBeSlow || state.MustReport) {
       state.QuerySlowdownAt.reset();
       continue;
     }
     if (!state.QuerySlowdownAt)
-      state.QuerySlowdownAt = now + Duration(turn(random));
+      state.QuerySlowdownAt = now + Duration(drawInterval(random));
     if (now < *state.QuerySlowdownAt)
       continue;
     bool isKnown = now - state.SlowdownAt < SlowdownInterval;
@@ -262,7 +265,8 @@
       out.push_back(state.Record);
     TimePoint from = isKnown ? state.SlowdownAt : now;
     state.QuerySlowdownAt =
-        from + std::max<Duration>(SlowdownInterval, Duration(turn(random)));
+        from +
+        std::max<Duration>(SlowdownInterval, Duration(drawInterval(random)));
   }
   return out;
 }
@@ -302,7 +306,7 @@
     it->QueryAt = std::max(now + queryInterval(now), it->UnresponsiveUntil);
   }
   if (status->IsOpen && !isFull)
-    reporter->ProvenAt = now;
+    reporter->KnownServingAt = now;
 }
 
 /// A status query without a response says nothing about the group, so another
--- a/lib/Direct/FleetSize.cpp
+++ b/lib/Direct/FleetSize.cpp
@@ -24,7 +24,7 @@
 
 bool FleetSize::isIdle(const std::string &name, TimePoint now) const {
   auto it = IdleAt.find(name);
-  return it != IdleAt.end() && now - it->second < ReportDelay;
+  return it != IdleAt.end() && now - it->second < MaxReportDelay;
 }
 
 void FleetSize::setListed(std::set<std::string> names, TimePoint now) {
--- a/lib/Direct/GroupGaps.cpp
+++ b/lib/Direct/GroupGaps.cpp
@@ -29,7 +29,7 @@
   GapEstimate &estimate = Estimates[group];
   // Other streams of the group received events while this one was silent, so
   // the gap is due to this stream alone.
-  bool isOwn = gap >= OwnSilence && now - estimate.At < gap / 2;
+  bool isOwn = gap >= MinStreamIdleTime && now - estimate.At < gap / 2;
   if (isOwn) {
     estimate.At = now;
     return;
@@ -46,15 +46,16 @@
     --estimate.DecodingStreams;
 }
 
-void GroupGaps::onSilence(const Key &group, Duration silence, TimePoint now) {
+void GroupGaps::onEndedIdle(const Key &group, Duration idleTime,
+                            TimePoint now) {
   GapEstimate &estimate = Estimates[group];
-  if (estimate.DecodingStreams < MinSilentStreams)
+  if (estimate.DecodingStreams < MinDecodingStreams)
     return;
   // All ranks of a group step together, so the group has been silent only as
   // long as the least silent of its streams. A longer idle period is the
   // stream's own. When an idle period of 0.9 s of one stream was taken for the
   // group's, dozens of healthy streams were stopped.
-  estimate.Gap = std::max(estimate.Gap, std::min(silence, now - estimate.At));
+  estimate.Gap = std::max(estimate.Gap, std::min(idleTime, now - estimate.At));
   estimate.At = now;
 }
 
--- a/lib/Process/DirectTraffic.cpp
+++ b/lib/Process/DirectTraffic.cpp
@@ -59,13 +59,13 @@
 }
 
 /// The name of \p reason in the log.
-static const char *wordOf(MigrationReason reason) {
+static const char *wordOf(StopReason reason) {
   switch (reason) {
-  case MigrationReason::TooSlow:
+  case StopReason::TooSlow:
     return "too_slow";
-  case MigrationReason::Silent:
+  case StopReason::Silent:
     return "silent";
-  case MigrationReason::Quarantined:
+  case StopReason::Quarantined:
     return "quarantined";
   }
   return "";
--- a/lib/Pushback/RateLimits.cpp
+++ b/lib/Pushback/RateLimits.cpp
@@ -71,7 +71,8 @@
 }
 
 void RateLimits::mergeRecord(const RateLimitRecord &record, TimePoint now) {
-  LimitUpdate update{record.PerSecond, now - record.SentAge - ReportDelay,
+  LimitUpdate update{record.PerSecond,
+                     now - record.SentAge - EstimatedReportDelay,
                      now - record.ReceivedAge};
   if (!apply(record.Incarnation, update, true, now))
     return;
--- a/lib/Quarantine/CrashTracker.cpp
+++ b/lib/Quarantine/CrashTracker.cpp
@@ -359,7 +359,7 @@
     return false;
   return n >= Limits.QuarantineCrashes ||
          (!hasCoincidentRequest(request, record) &&
-          chanceOf(record, now) <= Limits.Chance);
+          chanceOf(record, now) <= Limits.MaxInnocentProbability);
 }
 
 bool CrashTracker::isVerdictPending(RequestDigest request) const {
--- a/unittests/Direct/CrashSimulation.cpp
+++ b/unittests/Direct/CrashSimulation.cpp
@@ -204,7 +204,7 @@
   });
 }
 
-/// Callers try once more, but for what they are told is of no use.
+/// Callers send each request once more, whatever the result.
 void CrashSimulation::onResult(CallId id, ResultCode code) {
   auto it = Callers.find(id);
   if (it == Callers.end())
--- a/unittests/Direct/CrashSimulation.h
+++ b/unittests/Direct/CrashSimulation.h
@@ -63,8 +63,7 @@
   unsigned harmlessCompleted() const { return HarmlessCompleted; }
   /// Returns the largest number of arrivals of one harmless request.
   std::size_t maxHarmlessArrivals() const;
-  /// Time between a killer's arrival at an entry and its final answer, at most,
-  /// after it was quarantined there.
+  /// Returns how often callers of deadly requests received \p code.
   unsigned deadlyResults(ResultCode code) { return DeadlyResults[code]; }
   ospreyspur::test::RandomScheduler &time() { return Time; }
   const DirectNode &node(unsigned i) const { return *Entries[i].Node; }
--- a/unittests/Direct/CrashedGroupTest.cpp
+++ b/unittests/Direct/CrashedGroupTest.cpp
@@ -21,7 +21,8 @@
     REQUIRE(Groups[0] != Groups[1]);
   }
 
-  /// Starts call \p id. Returns its endpoint, or nothing if it has to wait.
+  /// Starts call \p id. Returns the group of its endpoint, or an empty string
+  /// if the call has to wait.
   std::string startAt(std::uint64_t id) {
     DirectRequest request;
     request.Id = CallId(id);
@@ -102,7 +103,7 @@
 }
 
 TEST_CASE("a request that was cut after its wait limit is retried once its "
-          "endpoint's fate is known") {
+          "endpoint's liveness is known") {
   CrashedGroupFixture fixture;
   fixture.startAt(5);
   fixture.Now += std::chrono::seconds(3);
--- a/unittests/Direct/DirectCallsTest.cpp
+++ b/unittests/Direct/DirectCallsTest.cpp
@@ -94,8 +94,8 @@
   fixture.Now += seconds(1);
   for (std::uint64_t id : {1, 2})
     fixture.Node.onSilent(CallId(id), fixture.Now);
-  CHECK(fixture.Node.endpointTable().find(EndpointId("e0"))->SuspectUntil ==
-        fixture.Now + EndpointTable::FirstSuspicion);
+  CHECK(fixture.Node.endpointTable().find(EndpointId("e0"))->AvoidedUntil ==
+        fixture.Now + EndpointTable::FirstAvoidTime);
 }
 
 TEST_CASE("a stream that has begun is not ended because many calls wait") {
@@ -241,7 +241,7 @@
       only<StartAttempt>(fixture.Node.onCall(std::move(request), fixture.Now)));
   fixture.Now += milliseconds(50);
   fixture.end(1, AttemptEnd::Lost);
-  CHECK(fixture.Node.endpointTable().find(EndpointId("e0"))->SuspectUntil <=
+  CHECK(fixture.Node.endpointTable().find(EndpointId("e0"))->AvoidedUntil <=
         fixture.Now);
 }
 
@@ -278,7 +278,7 @@
   fixture.Node.onStatusReport(find<QueryEndpoint>(next)->Endpoint.Id,
                               EndpointStatus{GroupId(group), true, 0},
                               fixture.Now);
-  CHECK(fixture.Node.endpointTable().find(unresponsive)->ProvenAt !=
+  CHECK(fixture.Node.endpointTable().find(unresponsive)->KnownServingAt !=
         fixture.Now);
 }
 
--- a/unittests/Direct/DirectGroupTest.cpp
+++ b/unittests/Direct/DirectGroupTest.cpp
@@ -110,7 +110,8 @@
 
 TEST_CASE("the rate of status queries to a closed group does not grow with the "
           "number of entries") {
-  // 16 entries are two for each query of an interval, 17 are more.
+  // An interval allows 8 queries, so each of 16 entries queries in every second
+  // interval, each of 17 in every third.
   for (auto [entries, intervals] :
        {std::pair(8, 1), {16, 2}, {17, 3}, {80, 10}}) {
     GroupFixture fixture;
--- a/unittests/Direct/DirectNodeTest.cpp
+++ b/unittests/Direct/DirectNodeTest.cpp
@@ -252,7 +252,7 @@
   NodeFixture fixture(1, makeRoute(RequestKind::OnceOnly, 1));
   REQUIRE(only<StartAttempt>(fixture.call(1)));
   fixture.end(1, AttemptEnd::Failed);
-  CHECK(fixture.Node.endpointTable().find(EndpointId("e0"))->SuspectUntil <=
+  CHECK(fixture.Node.endpointTable().find(EndpointId("e0"))->AvoidedUntil <=
         fixture.Now);
 }
 
--- a/unittests/Direct/SilentStreamTest.cpp
+++ b/unittests/Direct/SilentStreamTest.cpp
@@ -3,13 +3,14 @@
 // Guards against streams that are cut 0.9 s after their endpoint fell silent
 // while other endpoints have capacity.
 //
-// The idle period of one stream was recorded as the inter-event gap of its
-// whole group. Healthy streams of that group were then stopped as too slow,
-// dozens at a time, until the entry's share of the retry budget was spent. A
-// stream that had been stopped could not continue without a retry and was cut.
+// This happens if the idle period of one stream is recorded as the inter-event
+// gap of its whole group. Healthy streams of that group are then stopped as too
+// slow, dozens at a time, until the entry's share of the retry budget is spent.
+// A stream that was stopped cannot continue without a retry and is ended.
 //
-// In the log records of waiting requests, which count the endpoints by
-// obstacle, none was full, half were "too_slow", and no retry was left.
+// The log records of waiting requests, which count the endpoints by obstacle,
+// then show no full endpoint, half of the endpoints as "too_slow", and no retry
+// left.
 //
 //===----------------------------------------------------------------------===//
 
@@ -197,7 +198,7 @@
   SilentStreamFixture fixture(2);
   DirectActions stop = fixture.Node.onSilent(CallId(1), fixture.Now);
   REQUIRE(only<StopAttempt>(stop));
-  CHECK((only<StopAttempt>(stop)->Reason == MigrationReason::Silent));
+  CHECK((only<StopAttempt>(stop)->Reason == StopReason::Silent));
   CHECK(fixture.ownAt(fixture.other()) == 1);
   // The stream is stopped only once.
   CHECK(fixture.Node.onSilent(CallId(1), fixture.Now).empty());
@@ -257,13 +258,13 @@
   SilentStreamFixture fixture(3);
   DirectActions stop = fixture.Node.onSilent(CallId(1), fixture.Now);
   REQUIRE(only<StopAttempt>(stop));
-  TimePoint suspect =
-      fixture.Node.endpointTable().find(fixture.Origin)->SuspectUntil;
-  CHECK(suspect == fixture.Now + EndpointTable::FirstSuspicion);
+  TimePoint avoidedUntil =
+      fixture.Node.endpointTable().find(fixture.Origin)->AvoidedUntil;
+  CHECK(avoidedUntil == fixture.Now + EndpointTable::FirstAvoidTime);
   fixture.Now += milliseconds(100);
   fixture.end(1, AttemptEnd::BrokeOff);
-  CHECK(fixture.Node.endpointTable().find(fixture.Origin)->SuspectUntil ==
-        suspect);
+  CHECK(fixture.Node.endpointTable().find(fixture.Origin)->AvoidedUntil ==
+        avoidedUntil);
 }
 
 TEST_CASE("a stopped slow stream does not count as a failure of its endpoint") {
@@ -275,10 +276,10 @@
     REQUIRE(countOf<StartAttempt>(
                 fixture.end(it.get(), AttemptEnd::BrokeOff)) == 1);
   for (const auto &[id, state] : fixture.Node.endpointTable().states())
-    CHECK(state.SuspectUntil == TimePoint());
+    CHECK(state.AvoidedUntil == TimePoint());
 }
 
-TEST_CASE("a silent stream is not moved to a suspect endpoint") {
+TEST_CASE("a silent stream is not migrated to an avoided endpoint") {
   SilentStreamFixture fixture(2);
   // Of three more requests, at least one is at the other endpoint.
   for (std::uint64_t id = 2; id <= 4; ++id) {
@@ -288,11 +289,11 @@
     fixture.end(id, isAtOther ? AttemptEnd::Failed : AttemptEnd::Complete);
     fixture.Node.onCallClosed(CallId(id), fixture.Now);
   }
-  REQUIRE(fixture.Node.endpointTable().find(fixture.other())->SuspectUntil >
+  REQUIRE(fixture.Node.endpointTable().find(fixture.other())->AvoidedUntil >
           fixture.Now);
   CHECK(fixture.Node.onSilent(CallId(1), fixture.Now).empty());
   fixture.Now =
-      fixture.Node.endpointTable().find(fixture.other())->SuspectUntil;
+      fixture.Node.endpointTable().find(fixture.other())->AvoidedUntil;
   CHECK(only<StopAttempt>(fixture.Node.onSilent(CallId(1), fixture.Now)));
 }
 
--- a/unittests/Pushback/RateLimitFleetTest.cpp
+++ b/unittests/Pushback/RateLimitFleetTest.cpp
@@ -129,7 +129,8 @@
   }
 }
 
-TEST_CASE("an endpoint whose holder has no requests is tried by another") {
+TEST_CASE("an endpoint whose rate limit owners have no requests is tried by "
+          "other entries") {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     CAPTURE(seed);
     RateLimitedFleet fleet(seed);
