--- a/include/ospreyspur/Direct/FleetConfig.h
+++ b/include/ospreyspur/Direct/FleetConfig.h
@@ -45,10 +45,11 @@
   std::string Prefix;
   RequestKind Kind = RequestKind::OnceOnly;
   std::vector<WeightedService> Services;
-  /// Maximum time from a request's arrival to the end of its response.
+  /// Maximum time from a request's arrival to the end of its response. A caller
+  /// may state a shorter one.
   Duration Timeout = std::chrono::seconds(30);
-  /// Latency target: the time from a request's arrival to the first byte of its
-  /// response.
+  /// Latency target: a response earns its full value if its first byte follows
+  /// the arrival of the request within this time.
   Duration Target = std::chrono::seconds(1);
   /// Target for the longest inter-event gap; zero if the route has none.
   Duration GapTarget{};
