--- a/include/ospreyspur/Experts/RankStatus.h
+++ b/include/ospreyspur/Experts/RankStatus.h
@@ -18,8 +18,8 @@
 namespace ospreyspur {
 
 /// Counts how often the platform has formed the group, whose map MapSwitch
-/// changes. Whatever ranks have
-/// prepared, armed or held is lost with each formation.
+/// changes. Whatever ranks have prepared, armed or held is lost with each
+/// formation.
 using FormationEpoch = StrongType<struct FormationEpochTag, std::uint64_t>;
 
 /// An expert's number within its set of layers.
--- a/include/ospreyspur/Http/HttpClient.h
+++ b/include/ospreyspur/Http/HttpClient.h
@@ -72,9 +72,9 @@
   /// Sends \p request on a new connection and streams the response to \p sink.
   /// Returns Ok if the response was complete, EndpointUnreachable if the
   /// request was not sent because the connection was not established or the run
-  /// was stopped, EndpointFailed if the server closed or
-  /// reset the connection before the response was complete, and AnswerBroken
-  /// otherwise. \p idle is the timeout of each wait for the server.
+  /// was stopped, EndpointFailed if the server closed or reset the connection
+  /// before the response was complete, and AnswerBroken otherwise. \p idle is
+  /// the timeout of each wait for the server.
   boost::asio::awaitable<ResultCode> run(HttpRequest request, HttpSink sink,
                                          std::shared_ptr<HttpRunHandle> handle,
                                          Duration idle);
